--- a/src/_arbutuswalk/storage/errors.py
+++ b/src/_arbutuswalk/storage/errors.py
@@ -1,21 +1,21 @@
-"""What can go wrong with local storage."""
+"""Errors of local storage."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DiskFull:
-    """No room for the records; nothing of the batch was kept."""
+    """The disk is full; no record of the batch was written."""
 
     path: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Corrupt:
-    """Bytes that were once synced no longer read back.
+    """Synced data can no longer be read back intact.
 
-    The process has to stop: what it acknowledged may be gone. Replace the
-    member, as the operators' guide says.
+    The process has to stop, because entries that it acknowledged may be lost.
+    The operators' guide describes how to replace the member.
     """
 
     path: str
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unwritable:
-    """The folder cannot be used for writing."""
+    """The folder is not writable."""
 
     path: str
     reason: str
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Locked:
-    """Another process uses the folder."""
+    """Another process holds the lock of the folder."""
 
     path: str
 
@@ -42,7 +42,7 @@
 
 
 def describe(error: StorageError) -> str:
-    """Returns one line that names the file and the fix."""
+    """Returns one line with the file, the problem and any remedy."""
     if isinstance(error, DiskFull):
         return f"{error.path}: disk full; free space and start again"
     if isinstance(error, Corrupt):
--- a/src/_arbutuswalk/storage/folder.py
+++ b/src/_arbutuswalk/storage/folder.py
@@ -1,4 +1,4 @@
-"""The one data folder: the only place where files are touched."""
+"""File operations on the data folder of a member."""
 
 import errno
 import fcntl
@@ -7,140 +7,142 @@
 
 from _arbutuswalk.storage import errors
 
-LOCK_NAME = "LOCK"
-ASIDE_SUFFIX = ".aside"
+LOCK_FILE = "LOCK"
+TEMPORARY_SUFFIX = ".aside"
 
 
 class Folder:
     """A locked data folder.
 
     Attributes:
-        path: Where it is.
-        lock: Open file that holds the lock.
-        handles: Open file descriptor of each file being appended to.
+        path: Path of the folder.
+        lock_fd: File descriptor that holds the lock, or None.
+        open_fds: File descriptor of each open file, by file name.
     """
 
     def __init__(self, *, path: str):
         self.path = pathlib.Path(path)
-        self.lock: int | None = None
-        self.handles: dict[str, int] = {}
+        self.lock_fd: int | None = None
+        self.open_fds: dict[str, int] = {}
 
     def open(self) -> errors.StorageError | None:
-        """Creates the folder if needed and locks it."""
+        """Creates and locks the folder and removes its temporary files."""
         try:
             self.path.mkdir(parents=True, exist_ok=True)
             flags = os.O_RDWR | os.O_CREAT
-            self.lock = os.open(self.path / LOCK_NAME, flags, 0o644)
+            self.lock_fd = os.open(self.path / LOCK_FILE, flags, 0o644)
         except OSError as error:
-            return self._turn(error, "")
+            return self._to_storage_error(error, "")
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            os.close(self.lock)
-            self.lock = None
+            os.close(self.lock_fd)
+            self.lock_fd = None
             return errors.Locked(path=str(self.path))
         for name in self.names():
-            if name.endswith(ASIDE_SUFFIX):
+            if name.endswith(TEMPORARY_SUFFIX):
                 os.unlink(self.path / name)
         return None
 
     def close(self) -> None:
-        """Closes all files and gives up the lock."""
-        for handle in self.handles.values():
-            os.close(handle)
-        self.handles.clear()
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
+        """Closes all files and releases the lock."""
+        for fd in self.open_fds.values():
+            os.close(fd)
+        self.open_fds.clear()
+        if self.lock_fd is not None:
+            os.close(self.lock_fd)
+            self.lock_fd = None
 
     def names(self) -> list[str]:
         """Returns the sorted names of the files in the folder."""
-        return sorted(item.name for item in self.path.iterdir())
+        return sorted(file_path.name for file_path in self.path.iterdir())
 
     def read(self, name: str) -> bytes:
         """Returns a file's content."""
         return (self.path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> errors.StorageError | None:
-        """Appends to a file; on failure the file is as before."""
+        """Appends to a file; a failure leaves the file unchanged."""
         try:
-            handle = self._handle(name)
-            size = os.fstat(handle).st_size
+            fd = self._open_file(name)
+            size = os.fstat(fd).st_size
         except OSError as error:
-            return self._turn(error, name)
+            return self._to_storage_error(error, name)
         try:
-            view = memoryview(data)
-            while view:
-                view = view[os.write(handle, view) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(fd, remaining) :]
         except OSError as error:
-            os.ftruncate(handle, size)
-            return self._turn(error, name)
+            os.ftruncate(fd, size)
+            return self._to_storage_error(error, name)
         return None
 
     def sync(self, name: str) -> errors.StorageError | None:
         """Makes a file's content durable."""
         try:
-            os.fsync(self._handle(name))
+            os.fsync(self._open_file(name))
         except OSError as error:
-            return self._turn(error, name)
+            return self._to_storage_error(error, name)
         return None
 
     def truncate(self, name: str, size: int) -> errors.StorageError | None:
-        """Cuts a file and makes the cut durable."""
+        """Truncates a file and makes its new size durable."""
         try:
-            handle = self._handle(name)
-            os.ftruncate(handle, size)
-            os.fsync(handle)
+            fd = self._open_file(name)
+            os.ftruncate(fd, size)
+            os.fsync(fd)
         except OSError as error:
-            return self._turn(error, name)
+            return self._to_storage_error(error, name)
         return None
 
     def replace(self, name: str, data: bytes) -> errors.StorageError | None:
-        """Writes a whole file aside, syncs it and renames it into place."""
-        aside = name + ASIDE_SUFFIX
-        failure = self.append(aside, data) or self.sync(aside)
-        handle = self.handles.pop(aside, None)
-        if handle is not None:
-            os.close(handle)
+        """Atomically replaces a file by way of a synced temporary file."""
+        temporary_name = name + TEMPORARY_SUFFIX
+        failure = self.append(temporary_name, data) or self.sync(temporary_name)
+        fd = self.open_fds.pop(temporary_name, None)
+        if fd is not None:
+            os.close(fd)
         try:
             if failure is not None:
-                (self.path / aside).unlink(missing_ok=True)
+                (self.path / temporary_name).unlink(missing_ok=True)
                 return failure
-            os.rename(self.path / aside, self.path / name)
+            os.rename(self.path / temporary_name, self.path / name)
         except OSError as error:
-            return self._turn(error, name)
+            return self._to_storage_error(error, name)
         return self.sync_folder()
 
     def remove(self, name: str) -> None:
-        """Removes a file."""
-        handle = self.handles.pop(name, None)
-        if handle is not None:
-            os.close(handle)
+        """Closes a file and removes it if it exists."""
+        fd = self.open_fds.pop(name, None)
+        if fd is not None:
+            os.close(fd)
         (self.path / name).unlink(missing_ok=True)
 
     def sync_folder(self) -> errors.StorageError | None:
         """Makes creations, renames and removals durable."""
         try:
-            handle = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
+            fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         except OSError as error:
-            return self._turn(error, "")
+            return self._to_storage_error(error, "")
         try:
-            os.fsync(handle)
+            os.fsync(fd)
         except OSError as error:
-            return self._turn(error, "")
+            return self._to_storage_error(error, "")
         finally:
-            os.close(handle)
+            os.close(fd)
         return None
 
-    def _handle(self, name: str) -> int:
-        handle = self.handles.get(name)
-        if handle is None:
+    def _open_file(self, name: str) -> int:
+        fd = self.open_fds.get(name)
+        if fd is None:
             flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-            handle = os.open(self.path / name, flags, 0o644)
-            self.handles[name] = handle
-        return handle
+            fd = os.open(self.path / name, flags, 0o644)
+            self.open_fds[name] = fd
+        return fd
 
-    def _turn(self, error: OSError, name: str) -> errors.StorageError:
+    def _to_storage_error(
+        self, error: OSError, name: str
+    ) -> errors.StorageError:
         path = str(self.path / name)
         if error.errno in (errno.ENOSPC, errno.EDQUOT):
             return errors.DiskFull(path=path)
