--- a/src/_arbutuswalk/wire/arbutuswalk.thrift
+++ b/src/_arbutuswalk/wire/arbutuswalk.thrift
@@ -1,9 +1,10 @@
-// Messages between the system's own processes. Every message travels in one
-// Frame behind a four byte big-endian length. Times are seconds unless a name
-// says otherwise; a time never crosses processes except to be echoed back.
+// Messages between the processes of the system. Every message is sent in one
+// Frame, preceded by a four-byte big-endian length. Times are in seconds unless
+// the field name says otherwise. A time is valid only in the process that set
+// it; others may only echo it.
 namespace py arbutus
 
-// Agreement: the replicated log.
+// The replicated log.
 
 struct Entry {
   1: required i64 term,
@@ -15,7 +16,7 @@
   2: required string candidate,
   3: required i64 last_index,
   4: required i64 last_term,
-  5: required bool trial, // pre-vote: asks without raising anyone's term
+  5: required bool trial, // pre-vote: does not raise the term of any member
 }
 
 struct VoteReply {
@@ -33,18 +34,18 @@
   4: required i64 prev_term,
   5: required list<Entry> entries,
   6: required i64 commit,
-  7: required double sent_at, // leader's clock, echoed in the reply
+  7: required double sent_at, // on the leader's clock; echoed in the reply
 }
 
 struct AppendReply {
   1: required i64 term,
   2: required string follower,
   3: required bool accepted,
-  4: required i64 match_index, // on refusal: the index to try next
+  4: required i64 match_index, // if not accepted: the index to try next
   5: required double sent_at,
 }
 
-// The leader names a snapshot; the receiver fetches its pieces from any source.
+// The leader offers a snapshot; the receiver fetches pieces from any source.
 struct SnapshotOffer {
   1: required i64 term,
   2: required string leader,
@@ -65,14 +66,14 @@
   1: required string source,
   2: required i64 last_index,
   3: required i64 offset,
-  4: required binary data, // empty when the source has no such snapshot
+  4: required binary data, // empty if the source lacks the snapshot
 }
 
-// Says who is behind an address, before and during membership.
+// Announces the member at an address, also before it belongs to a group.
 struct Hello {
   1: required string member,
   2: required string address,
-  3: required string group, // empty until the member belongs to one
+  3: required string group, // empty until the member belongs to a group
 }
 
 // Control: commands, leases and reads.
@@ -107,7 +108,7 @@
   1: required Status status,
   2: optional i64 lease_ms,
   3: optional i64 view_version,
-  4: optional binary view, // JSON, absent when the caller has it
+  4: optional binary view, // JSON, absent if the caller has this version
   5: optional string leader,
   6: optional string reason,
 }
@@ -124,31 +125,32 @@
   4: optional string reason,
 }
 
-// Keeps an entry up to date. A control process answers at once if it has news
-// for the entry, else after a while. Entries watch every control process.
+// Long poll by which an entry stays up to date. A control process replies at
+// once if it has news for the entry, else after a timeout. Entries watch every
+// control process.
 
 struct Watch {
   1: required string entry,
   2: required i64 incarnation,
-  3: required string session, // control process's start that `version` is of
-  4: required i64 version, // last version of its directory that was taken
-  5: required i64 routes_version, // newest configuration of routes it knows of
-  6: required binary report, // packed JSON
+  3: required string session, // start of the control process that set `version`
+  4: required i64 version, // last version of its directory that was received
+  5: required i64 routes_version, // newest known version of the routes
+  6: required binary report, // compressed JSON
 }
 
 struct WatchReply {
   1: required string session,
   2: required i64 version,
-  3: required binary news, // packed JSON
+  3: required binary news, // compressed JSON
 }
 
 struct RoutesRequest {
-  1: required i64 offset, // of the part asked for
+  1: required i64 offset, // of the requested part
 }
 
 struct RoutesPart {
-  1: required i64 version, // configuration of routes that the part is of
-  2: required i64 size, // of the whole packed configuration
+  1: required i64 version, // version of the routes that the part belongs to
+  2: required i64 size, // in bytes, of the whole compressed configuration
   3: required binary data,
 }
 
@@ -173,13 +175,13 @@
   5: required bool failed,
 }
 
-// Moves a request to the entry where its caller now is.
+// Transfers a request to the entry that its caller is now connected to.
 struct TakeRequest {
   1: required string request_id,
 }
 
 struct TakeReply {
-  1: required binary request, // JSON, empty when it is not known
+  1: required binary request, // JSON, empty if the request is unknown
   2: required list<binary> events,
   3: required bool finished,
 }
--- a/src/_arbutuswalk/wire/codec.py
+++ b/src/_arbutuswalk/wire/codec.py
@@ -1,4 +1,4 @@
-"""Thrift frames to bytes and back."""
+"""Encoding and decoding of Thrift frames."""
 
 import dataclasses
 import struct
@@ -10,10 +10,10 @@
 
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 
-_FACTORY = TBinaryProtocol.TBinaryProtocolAcceleratedFactory(
+_PROTOCOL_FACTORY = TBinaryProtocol.TBinaryProtocolAcceleratedFactory(
     string_length_limit=MAX_FRAME_BYTES,
     container_length_limit=MAX_FRAME_BYTES,
 )
@@ -27,35 +27,37 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BadFrame:
-    """Bytes that are not a frame of ours."""
+    """The received bytes are not a valid frame."""
 
     reason: str
 
 
-def encode(call: int, message: object, *, reply: bool) -> bytes:
-    """Returns ``message`` in a frame, length included."""
+def encode(call_number: int, message: object, *, reply: bool) -> bytes:
+    """Returns a frame with ``message``, preceded by its length."""
     body = ttypes.Body(**{_BODY_FIELDS[type(message)]: message})
-    payload = encode_struct(ttypes.Frame(call=call, reply=reply, body=body))
-    return LENGTH.pack(len(payload)) + payload
+    payload = encode_struct(
+        ttypes.Frame(call=call_number, reply=reply, body=body)
+    )
+    return LENGTH_PREFIX.pack(len(payload)) + payload
 
 
 def encode_struct(value: object) -> bytes:
-    """Returns the binary protocol bytes of any generated struct."""
+    """Returns a generated struct in the Thrift binary protocol."""
     transport = TTransport.TMemoryBuffer()
-    value.write(_FACTORY.getProtocol(transport))
+    value.write(_PROTOCOL_FACTORY.getProtocol(transport))
     return transport.getvalue()
 
 
 def decode(payload: bytes) -> tuple[int, bool, object] | BadFrame:
-    """Parses one frame without its length.
+    """Parses one frame, given without its length prefix.
 
     Returns:
-        Call number, whether it is a reply, and the one message in it.
+        Call number, whether it is a reply, and the message in it.
     """
     frame = ttypes.Frame()
     try:
         transport = TTransport.TMemoryBuffer(payload)
-        frame.read(_FACTORY.getProtocol(transport))
+        frame.read(_PROTOCOL_FACTORY.getProtocol(transport))
         frame.validate()
     except (
         Thrift.TException,
@@ -68,10 +70,12 @@
         RecursionError,
     ) as error:
         return BadFrame(reason=f"{type(error).__name__}: {error}")
-    return _unpack(frame)
+    return _extract_message(frame)
 
 
-def _unpack(frame: ttypes.Frame) -> tuple[int, bool, object] | BadFrame:
+def _extract_message(
+    frame: ttypes.Frame,
+) -> tuple[int, bool, object] | BadFrame:
     if frame.body is None:
         return BadFrame(reason="frame without a body")
     messages = [
--- a/src/_arbutuswalk/wire/link.py
+++ b/src/_arbutuswalk/wire/link.py
@@ -1,7 +1,7 @@
 """Framed links: calls with timeouts, one-way messages, heartbeats.
 
-A link that stays silent longer than ``SILENCE_LIMIT_S`` while something was
-expected of it is closed and replaced; nobody waits for it.
+A link on which nothing arrives for longer than ``SILENCE_LIMIT_S`` is closed,
+and its unanswered calls fail at once. The next message opens a new connection.
 """
 
 import asyncio
@@ -18,13 +18,14 @@
 HEARTBEAT_S = 0.5
 SILENCE_LIMIT_S = 2.0
 CONNECT_TIMEOUTS_S = (0.25, 0.5, 1.0)
-"""Time for a connection to open, by how many tries failed before. The kernel
-sends a lost first packet again after 1 s; a new try at once finds a machine
-that has come up meanwhile. Longer ones bear slow links."""
-MAX_BUFFERED_BYTES = 64 * 1024 * 1024
+"""Connect timeouts by the number of failed attempts before. The kernel resends
+a lost first packet only after 1 s; a new attempt is quicker to reach an
+instance that has started meanwhile. The longer timeouts allow for slow links.
+"""
+MAX_SEND_BUFFER_BYTES = 64 * 1024 * 1024
 
 Handler = Callable[[object], Awaitable[object | None]]
-"""Takes one message; returns the reply, or None for one-way messages."""
+"""Handles one message; returns its reply, or None for one-way messages."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -32,8 +33,8 @@
     """The call was not answered because the link failed.
 
     Attributes:
-        reason: What happened.
-        sent: Whether any byte of the call may have left.
+        reason: Why the link failed.
+        sent: Whether any byte of the call may have been sent.
     """
 
     reason: str
@@ -42,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TimedOut:
-    """The call was sent and not answered in time."""
+    """The call was sent but not answered within ``after_s``."""
 
     after_s: float
 
@@ -52,21 +53,21 @@
 
     Attributes:
         address: ``IP:port`` of the other side.
-        pending: Future of each unanswered call.
-        heard_at: When a byte last came in, in seconds.
-        failed_tries: Tries to connect that failed since the last success.
+        pending_calls: Future of each unanswered call.
+        last_received_at: When a frame last came in, in seconds.
+        failed_attempts: Failed attempts to connect since the last success.
     """
 
     def __init__(self, *, address: str, now: clock.Clock = clock.monotonic):
         self.address = address
         self.now = now
-        self.pending: dict[int, asyncio.Future] = {}
-        self.heard_at = 0.0
-        self.last_call = 0
-        self.failed_tries = 0
+        self.pending_calls: dict[int, asyncio.Future] = {}
+        self.last_received_at = 0.0
+        self.last_call_number = 0
+        self.failed_attempts = 0
         self.writer: asyncio.StreamWriter | None = None
         self.tasks: set[asyncio.Task] = set()
-        self.opening = asyncio.Lock()
+        self.open_lock = asyncio.Lock()
 
     async def call(
         self, message: object, *, timeout_s: float
@@ -75,36 +76,39 @@
         failure = await self.open()
         if failure is not None:
             return failure
-        self.last_call += 1
-        number = self.last_call
+        self.last_call_number += 1
+        call_number = self.last_call_number
         future = asyncio.get_running_loop().create_future()
-        self.pending[number] = future
-        self.writer.write(codec.encode(number, message, reply=False))
+        self.pending_calls[call_number] = future
+        self.writer.write(codec.encode(call_number, message, reply=False))
         try:
             return await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
             return TimedOut(after_s=timeout_s)
         finally:
-            self.pending.pop(number, None)
+            self.pending_calls.pop(call_number, None)
 
     def post(self, message: object) -> bool:
-        """Sends a one-way message if the link is open; else opens it.
+        """Sends a one-way message if the link is open, else starts opening it.
 
         Returns:
-            Whether the message was handed to an open connection.
+            Whether the message was written to an open connection.
         """
         if self.writer is None:
-            if not self.opening.locked():
-                self._spawn(self.open())
+            if not self.open_lock.locked():
+                self._start_task(self.open())
             return False
-        if self.writer.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
+        if (
+            self.writer.transport.get_write_buffer_size()
+            > MAX_SEND_BUFFER_BYTES
+        ):
             return False
         self.writer.write(codec.encode(0, message, reply=False))
         return True
 
     async def open(self) -> LinkDown | None:
-        """Opens the connection unless it is open."""
-        async with self.opening:
+        """Opens the connection if it is not open."""
+        async with self.open_lock:
             if self.writer is not None:
                 return None
             host, _, port = self.address.rpartition(":")
@@ -115,40 +119,40 @@
                 )
                 sockets.detect_silence(writer.get_extra_info("socket"))
             except (TimeoutError, OSError, ValueError) as error:
-                # The connection may be lost again before its socket is set up,
-                # and an address that another process gave may be none.
-                self.failed_tries += 1
+                # The connection may be lost before its socket options are set,
+                # and an address given by another process may be invalid.
+                self.failed_attempts += 1
                 reason = str(error) or "connect timed out"
                 return LinkDown(reason=reason, sent=False)
-            self.failed_tries = 0
+            self.failed_attempts = 0
             self.writer = writer
-            self.heard_at = self.now()
-            self._spawn(self._read(reader, writer))
-            self._spawn(self._heartbeat(writer))
+            self.last_received_at = self.now()
+            self._start_task(self._read_replies(reader, writer))
+            self._start_task(self._send_heartbeats(writer))
             return None
 
     def _connect_timeout_s(self) -> float:
-        last = len(CONNECT_TIMEOUTS_S) - 1
-        return CONNECT_TIMEOUTS_S[min(self.failed_tries, last)]
+        last_position = len(CONNECT_TIMEOUTS_S) - 1
+        return CONNECT_TIMEOUTS_S[min(self.failed_attempts, last_position)]
 
     def close(self, reason: str = "closed") -> None:
-        """Drops the connection; unanswered calls fail at once."""
+        """Aborts the connection; its unanswered calls fail at once."""
         writer, self.writer = self.writer, None
         if writer is not None:
             writer.transport.abort()
-        for future in self.pending.values():
+        for future in self.pending_calls.values():
             if not future.done():
                 future.set_result(LinkDown(reason=reason, sent=True))
-        self.pending.clear()
+        self.pending_calls.clear()
 
     async def stop(self) -> None:
-        """Closes the link and ends its tasks."""
+        """Closes the link and cancels its tasks."""
         self.close()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def _read(
+    async def _read_replies(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         reason = "closed by the other side"
@@ -157,24 +161,24 @@
             if decoded is None or isinstance(decoded, codec.BadFrame):
                 reason = getattr(decoded, "reason", reason)
                 break
-            self.heard_at = self.now()
-            number, _, message = decoded
-            future = self.pending.pop(number, None)
+            self.last_received_at = self.now()
+            call_number, _, message = decoded
+            future = self.pending_calls.pop(call_number, None)
             if future is not None and not future.done():
                 future.set_result(message)
         if self.writer is writer:
             self.close(reason)
 
-    async def _heartbeat(self, writer: asyncio.StreamWriter) -> None:
+    async def _send_heartbeats(self, writer: asyncio.StreamWriter) -> None:
         while self.writer is writer:
             writer.write(codec.encode(0, ttypes.Ping(), reply=False))
             await asyncio.sleep(HEARTBEAT_S)
-            silence = self.now() - self.heard_at
-            if self.writer is writer and silence > SILENCE_LIMIT_S:
+            silent_s = self.now() - self.last_received_at
+            if self.writer is writer and silent_s > SILENCE_LIMIT_S:
                 events.log(events.Event.LINK_REPLACED, self.address, "silent")
                 self.close("silent")
 
-    def _spawn(self, coroutine: Awaitable) -> None:
+    def _start_task(self, coroutine: Awaitable) -> None:
         task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -183,10 +187,10 @@
 async def read_frame(
     reader: asyncio.StreamReader,
 ) -> tuple[int, bool, object] | codec.BadFrame | None:
-    """Reads one frame; None when the connection ends."""
+    """Reads one frame; returns None at the end of the connection."""
     try:
-        head = await reader.readexactly(codec.LENGTH.size)
-        (length,) = codec.LENGTH.unpack(head)
+        length_prefix = await reader.readexactly(codec.LENGTH_PREFIX.size)
+        (length,) = codec.LENGTH_PREFIX.unpack(length_prefix)
         if length > codec.MAX_FRAME_BYTES:
             return codec.BadFrame(reason=f"frame of {length} bytes")
         payload = await reader.readexactly(length)
@@ -196,11 +200,11 @@
 
 
 class LinkServer:
-    """Listens for links and hands each message to one handler.
+    """Accepts links and passes each message to one handler.
 
     Attributes:
         address: ``IP:port`` it listens on.
-        handler: Takes each message and returns its reply.
+        handler: Called with each message; returns its reply.
     """
 
     def __init__(self, *, address: str, handler: Handler):
@@ -220,7 +224,7 @@
         self.server = await asyncio.start_server(self._serve, host, int(port))
 
     async def stop(self) -> None:
-        """Closes the socket and every connection."""
+        """Closes the listening socket and all connections."""
         if self.server is not None:
             self.server.close()
         for writer in list(self.writers):
@@ -247,7 +251,7 @@
                     return
                 self._dispatch(decoded, writer)
         except OSError:
-            return  # lost before its socket was set up
+            return  # the connection was lost before its options were set
         finally:
             self.writers.discard(writer)
             writer.transport.abort()
@@ -257,23 +261,23 @@
         decoded: tuple[int, bool, object],
         writer: asyncio.StreamWriter,
     ) -> None:
-        number, _, message = decoded
+        call_number, _, message = decoded
         if isinstance(message, ttypes.Ping):
             pong = codec.encode(0, ttypes.Ping(), reply=True)
             writer.write(pong)
             return
-        task = asyncio.ensure_future(self._answer(number, message, writer))
+        task = asyncio.ensure_future(self._handle(call_number, message, writer))
         self.tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    async def _answer(
-        self, number: int, message: object, writer: asyncio.StreamWriter
+    async def _handle(
+        self, call_number: int, message: object, writer: asyncio.StreamWriter
     ) -> None:
         reply = await self.handler(message)
-        if number and reply is not None and not writer.is_closing():
-            writer.write(codec.encode(number, reply, reply=True))
+        if call_number and reply is not None and not writer.is_closing():
+            writer.write(codec.encode(call_number, reply, reply=True))
 
-    def _finished(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             events.warn(
--- a/testing/test_wire.py
+++ b/testing/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames and links: fuzzed bytes, silent peers, replaced connections."""
+"""Frames and links: fuzzed bytes, unresponsive peers, lost connections."""
 
 import asyncio
 import socket
@@ -65,30 +65,30 @@
 
 @pytest.fixture
 async def server():
-    made = link.LinkServer(address=free_address(), handler=echo)
-    await made.start()
-    yield made
-    await made.stop()
+    started_server = link.LinkServer(address=free_address(), handler=echo)
+    await started_server.start()
+    yield started_server
+    await started_server.stop()
 
 
 @pytest.fixture
 async def client(server):
-    made = link.Link(address=server.address)
-    yield made
-    await made.stop()
+    new_client = link.Link(address=server.address)
+    yield new_client
+    await new_client.stop()
 
 
-def submit(text):
-    return ttypes.Submit(command=text)
+def submit(command):
+    return ttypes.Submit(command=command)
 
 
 class TestLink:
-    async def test_answers_come_to_their_callers(self, client):
+    async def test_replies_reach_their_callers(self, client):
         calls = [client.call(submit(b"%d" % i), timeout_s=5) for i in range(50)]
         replies = await asyncio.gather(*calls)
         assert [r.result for r in replies] == [b"%d" % i for i in range(50)]
 
-    async def test_slow_answer_times_out_and_others_pass(self, client):
+    async def test_slow_reply_times_out_and_others_arrive(self, client):
         slow = asyncio.ensure_future(
             client.call(submit(b"slow"), timeout_s=0.2)
         )
@@ -96,27 +96,29 @@
         assert quick.result == b"quick"
         assert isinstance(await slow, link.TimedOut)
 
-    async def test_nobody_there(self):
+    async def test_refused_connection_gives_link_down(self):
         client = link.Link(address=free_address())
         reply = await client.call(submit(b"x"), timeout_s=1)
         assert isinstance(reply, link.LinkDown)
         assert not reply.sent
         await client.stop()
 
-    def test_a_lost_first_packet_costs_a_quarter_of_a_second(self, monkeypatch):
-        """The kernel's own next try comes after one second."""
+    def test_lost_first_packet_costs_the_first_connect_timeout(
+        self, monkeypatch
+    ):
+        """A lost first packet costs 0.25 s, not the kernel's one second."""
         loop = virtual.VirtualLoop()
 
         async def hang(host, port):
             await asyncio.sleep(3600)
 
         async def measure():
-            asked = link.Link(address="127.0.0.1:1", now=loop.time)
+            client = link.Link(address="127.0.0.1:1", now=loop.time)
             times = []
             for _ in range(4):
-                began = loop.time()
-                assert isinstance(await asked.open(), link.LinkDown)
-                times.append(round(loop.time() - began, 3))
+                started_at = loop.time()
+                assert isinstance(await client.open(), link.LinkDown)
+                times.append(round(loop.time() - started_at, 3))
             return times
 
         monkeypatch.setattr(asyncio, "open_connection", hang)
@@ -124,18 +126,16 @@
         virtual.close(loop)
 
     @pytest.mark.parametrize("address", ["l", "", "127.0.0.1", "127.0.0.1:x"])
-    async def test_an_address_that_is_none_is_a_link_that_is_down(
-        self, address
-    ):
-        """Another entry's registration named one; syncing ended over it."""
-        asked = link.Link(address=address)
-        reply = await asked.call(ttypes.Dump(), timeout_s=1)
+    async def test_invalid_address_gives_link_down(self, address):
+        """An invalid address in a registration must not end syncing."""
+        client = link.Link(address=address)
+        reply = await client.call(ttypes.Dump(), timeout_s=1)
         assert isinstance(reply, link.LinkDown)
 
-    async def test_connection_lost_before_its_socket_is_set_up(
+    async def test_connection_lost_before_its_socket_options_are_set(
         self, client, monkeypatch
     ):
-        """Found by the soak, seed 1036: the error ended a watch for good."""
+        """Unhandled, the error ended a watch permanently (soak, seed 1036)."""
 
         def fail(_):
             raise OSError(9, "Bad file descriptor")
@@ -154,10 +154,12 @@
         assert isinstance(reply, link.LinkDown)
         assert reply.sent
 
-    async def test_garbage_closes_the_connection_alone(self, client, server):
+    async def test_invalid_frame_closes_only_its_connection(
+        self, client, server
+    ):
         host, _, port = server.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(codec.LENGTH.pack(5) + b"trash")
+        writer.write(codec.LENGTH_PREFIX.pack(5) + b"trash")
         assert await reader.read() == b""
         writer.close()
         reply = await client.call(submit(b"still here"), timeout_s=5)
@@ -166,7 +168,7 @@
     async def test_oversized_frame_is_refused(self, server):
         host, _, port = server.address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(codec.LENGTH.pack(codec.MAX_FRAME_BYTES + 1))
+        writer.write(codec.LENGTH_PREFIX.pack(codec.MAX_FRAME_BYTES + 1))
         assert await reader.read() == b""
         writer.close()
 
@@ -176,15 +178,15 @@
         address = free_address()
         host, _, port = address.rpartition(":")
 
-        async def say_nothing(reader, writer):
+        async def never_reply(reader, writer):
             await reader.read()
             writer.close()
 
-        silent = await asyncio.start_server(say_nothing, host, int(port))
+        silent_server = await asyncio.start_server(never_reply, host, int(port))
         client = link.Link(address=address)
         reply = await client.call(submit(b"x"), timeout_s=20)
         assert isinstance(reply, link.LinkDown)
         assert reply.reason == "silent"
         assert client.writer is None
         await client.stop()
-        silent.close()
+        silent_server.close()
--- a/testing/virtual.py
+++ b/testing/virtual.py
@@ -1,11 +1,11 @@
-"""An event loop on virtual time: sleeping costs nothing."""
+"""An event loop on virtual time, on which sleeping takes no real time."""
 
 import asyncio
 import selectors
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Advances the clock instead of waiting."""
+    """Advances its clock instead of waiting."""
 
     def __init__(self):
         super().__init__()
@@ -15,24 +15,26 @@
         ready = super().select(0)
         if ready:
             return ready
-        assert timeout is not None, "everything waits for nothing"
+        assert timeout is not None, (
+            "no timer is set and no file is ready: the loop would block forever"
+        )
         self.now += timeout
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose time is its selector's."""
+    """An event loop that uses the clock of its selector."""
 
     def __init__(self):
-        self.virtual = VirtualSelector()
-        super().__init__(self.virtual)
+        self.virtual_selector = VirtualSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self):
-        return self.virtual.now
+        return self.virtual_selector.now
 
 
 def close(loop):
-    """Cancels what still runs on a loop, lets it end, and closes it."""
+    """Cancels the tasks of a loop, waits for their end and closes the loop."""
     for _ in range(5):
         tasks = asyncio.all_tasks(loop)
         if not tasks:
@@ -44,7 +46,7 @@
 
 
 def run(coroutine):
-    """Runs a coroutine to its end on virtual time."""
+    """Runs a coroutine to completion on virtual time."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(coroutine)
