--- a/testing/models.py
+++ b/testing/models.py
@@ -1,7 +1,7 @@
 """Small specifications of the core protocols, for explicit-state checking.
 
 ``docs/design/agreement.md`` and ``docs/design/ledger.md`` map each action to
-the function that carries it.
+the function that implements it.
 """
 
 from typing import NamedTuple
@@ -11,18 +11,18 @@
 FOLLOWER, CANDIDATE, LEADER = "F", "C", "L"
 
 
-class Log(NamedTuple):
+class AgreementState(NamedTuple):
     """State of the election and commit specification.
 
     Attributes:
         term: Highest term of each node.
         voted: Vote of each node in its term, -1 for none.
         role: Role of each node.
-        votes: Votes each candidate has, as a frozen set.
+        votes: Voters for each candidate, as a frozen set.
         log: Entries of each node: terms, or (term, voters) with membership.
-        known: Size of the prefix each leader itself has committed.
-        committed: Longest prefix ever committed, by whichever leader.
-        split: Whether two committed prefixes contradicted each other.
+        known: Length of the prefix that each leader has committed itself.
+        committed: Longest prefix that any leader has committed.
+        split: Whether two committed prefixes ever conflicted.
     """
 
     term: tuple
@@ -36,7 +36,7 @@
 
 
 class Bounds(NamedTuple):
-    """Sizes of a specification."""
+    """Bounds of the explored state space."""
 
     nodes: int = 3
     terms: int = 3
@@ -46,7 +46,7 @@
 
 
 class Faults(NamedTuple):
-    """Faults that a broken twin has."""
+    """Faults of a faulty variant of the agreement specification."""
 
     commits_old_terms: bool = False
     forgets_votes: bool = False
@@ -55,16 +55,16 @@
     changes_two_at_once: bool = False
 
 
-BOUNDS = Bounds()
-SOUND = Faults()
+DEFAULT_BOUNDS = Bounds()
+NO_FAULTS = Faults()
 
 
-def put(values, i, value):
+def replace_at(values, i, value):
     return (*values[:i], value, *values[i + 1 :])
 
 
 def voters_of(log, bounds):
-    """Returns the voters by the newest entry that sets them."""
+    """Returns the voters set by the newest membership entry."""
     if not bounds.members:
         return frozenset(range(bounds.nodes))
     for entry in reversed(log):
@@ -73,47 +73,47 @@
     return frozenset(range(3))
 
 
-def is_majority(some, voters):
-    return 2 * len(some & voters) > len(voters)
+def is_majority(nodes, voters):
+    return 2 * len(nodes & voters) > len(voters)
 
 
 def entry_term(entry, bounds):
     return entry[0] if bounds.members else entry
 
 
-def last_of(log, bounds):
+def last_position(log, bounds):
     return (entry_term(log[-1], bounds) if log else 0, len(log))
 
 
-def blank(n):
-    """Returns the state in which nothing has happened."""
-    return Log(
-        term=(0,) * n,
-        voted=(-1,) * n,
-        role=(FOLLOWER,) * n,
-        votes=(frozenset(),) * n,
-        log=((),) * n,
-        known=(0,) * n,
+def blank(node_count):
+    """Returns the initial state."""
+    return AgreementState(
+        term=(0,) * node_count,
+        voted=(-1,) * node_count,
+        role=(FOLLOWER,) * node_count,
+        votes=(frozenset(),) * node_count,
+        log=((),) * node_count,
+        known=(0,) * node_count,
         committed=(),
         split=False,
     )
 
 
-def agreement(bounds=BOUNDS, faults=SOUND, start=None):  # noqa: PLR0915
+def agreement(bounds=DEFAULT_BOUNDS, faults=NO_FAULTS, start=None):  # noqa: PLR0915
     """Returns the specification of election, commit and membership."""
-    n = bounds.nodes
-    start = start or blank(n)
+    node_count = bounds.nodes
+    start = start or blank(node_count)
 
-    def transitions(raw):
-        state = Log(*raw)
-        for i in range(n):
+    def transitions(state_values):
+        state = AgreementState(*state_values)
+        for i in range(node_count):
             yield from stand(state, i)
             yield from win(state, i)
             yield from append(state, i)
             yield from commit(state, i)
             if bounds.crashes:
                 yield from restart(state, i)
-            for j in range(n):
+            for j in range(node_count):
                 if i != j:
                     yield from vote(state, i, j)
                     yield from replicate(state, i, j)
@@ -126,10 +126,10 @@
         yield (
             f"stand {i}",
             state._replace(
-                term=put(state.term, i, state.term[i] + 1),
-                voted=put(state.voted, i, i),
-                role=put(state.role, i, CANDIDATE),
-                votes=put(state.votes, i, frozenset([i])),
+                term=replace_at(state.term, i, state.term[i] + 1),
+                voted=replace_at(state.voted, i, i),
+                role=replace_at(state.role, i, CANDIDATE),
+                votes=replace_at(state.votes, i, frozenset([i])),
             ),
         )
 
@@ -139,19 +139,25 @@
         term = state.term[i]
         if state.term[j] > term:
             return
-        free = state.term[j] < term or state.voted[j] in (-1, i)
-        current = last_of(state.log[i], bounds) >= last_of(state.log[j], bounds)
-        if not free or not (current or faults.ignores_log_on_votes):
+        vote_available = state.term[j] < term or state.voted[j] in (-1, i)
+        is_up_to_date = last_position(state.log[i], bounds) >= last_position(
+            state.log[j], bounds
+        )
+        if not vote_available or not (
+            is_up_to_date or faults.ignores_log_on_votes
+        ):
             return
         yield (
             f"vote {j} for {i}",
             state._replace(
-                term=put(state.term, j, term),
-                voted=put(state.voted, j, i),
-                role=put(state.role, j, FOLLOWER),
-                known=put(state.known, j, 0),
-                votes=put(
-                    put(state.votes, j, frozenset()), i, state.votes[i] | {j}
+                term=replace_at(state.term, j, term),
+                voted=replace_at(state.voted, j, i),
+                role=replace_at(state.role, j, FOLLOWER),
+                known=replace_at(state.known, j, 0),
+                votes=replace_at(
+                    replace_at(state.votes, j, frozenset()),
+                    i,
+                    state.votes[i] | {j},
                 ),
             ),
         )
@@ -165,9 +171,9 @@
         yield (
             f"win {i}",
             state._replace(
-                role=put(state.role, i, LEADER),
-                votes=put(state.votes, i, frozenset()),
-                known=put(state.known, i, 0),
+                role=replace_at(state.role, i, LEADER),
+                votes=replace_at(state.votes, i, frozenset()),
+                known=replace_at(state.known, i, 0),
             ),
         )
 
@@ -178,12 +184,12 @@
         if not bounds.members:
             yield (
                 f"append {i}",
-                state._replace(log=put(state.log, i, (*log, term))),
+                state._replace(log=replace_at(state.log, i, (*log, term))),
             )
             return
         yield (
             f"append {i}",
-            state._replace(log=put(state.log, i, (*log, (term, None)))),
+            state._replace(log=replace_at(state.log, i, (*log, (term, None)))),
         )
         if not may_change(state, i):
             return
@@ -191,20 +197,20 @@
             entry = (term, voters)
             yield (
                 f"change {i} to {sorted(voters)}",
-                state._replace(log=put(state.log, i, (*log, entry))),
+                state._replace(log=replace_at(state.log, i, (*log, entry))),
             )
 
     def may_change(state, i):
         log = state.log[i]
         known = state.known[i]
         pending = any(entry[1] for entry in log[known:])
-        own = known > 0  # a leader commits nothing before its own entry
+        has_own_commit = known > 0  # a leader first commits an entry of its own
         if pending and not faults.changes_two_at_once:
             return False
-        return own or faults.changes_before_own_commit
+        return has_own_commit or faults.changes_before_own_commit
 
     def next_voters(voters):
-        for i in range(n):
+        for i in range(node_count):
             changed = voters ^ {i}
             if len(changed) >= 2:
                 yield frozenset(changed)
@@ -212,21 +218,27 @@
     def replicate(state, i, j):
         if state.role[i] != LEADER or state.term[j] > state.term[i]:
             return
-        mine, theirs = state.log[i], state.log[j]
-        same = 0
-        for a, b in zip(mine, theirs, strict=False):
+        leader_log, follower_log = state.log[i], state.log[j]
+        common_length = 0
+        for a, b in zip(leader_log, follower_log, strict=False):
             if a != b:
                 break
-            same += 1
-        new = theirs if len(mine) <= same else mine[: same + 1]
-        changed = state.term[j] < state.term[i]
+            common_length += 1
+        new_log = (
+            follower_log
+            if len(leader_log) <= common_length
+            else leader_log[: common_length + 1]
+        )
+        term_changed = state.term[j] < state.term[i]
         after = state._replace(
-            term=put(state.term, j, state.term[i]),
-            voted=put(state.voted, j, -1) if changed else state.voted,
-            role=put(state.role, j, FOLLOWER),
-            votes=put(state.votes, j, frozenset()),
-            known=put(state.known, j, 0),
-            log=put(state.log, j, new),
+            term=replace_at(state.term, j, state.term[i]),
+            voted=replace_at(state.voted, j, -1)
+            if term_changed
+            else state.voted,
+            role=replace_at(state.role, j, FOLLOWER),
+            votes=replace_at(state.votes, j, frozenset()),
+            known=replace_at(state.known, j, 0),
+            log=replace_at(state.log, j, new_log),
         )
         if after != state:
             yield f"replicate {i} to {j}", after
@@ -236,25 +248,25 @@
         if state.role[i] != LEADER:
             return
         for size in range(len(log), 0, -1):
-            own = entry_term(log[size - 1], bounds) == state.term[i]
-            if not own and not faults.commits_old_terms:
+            is_current_term = entry_term(log[size - 1], bounds) == state.term[i]
+            if not is_current_term and not faults.commits_old_terms:
                 continue
-            holding = frozenset(
+            matching_nodes = frozenset(
                 j
-                for j in range(n)
+                for j in range(node_count)
                 if state.term[j] == state.term[i]
                 and state.log[j][:size] == log[:size]
             )
-            if not is_majority(holding, voters_of(log, bounds)):
+            if not is_majority(matching_nodes, voters_of(log, bounds)):
                 continue
-            prefix, known = log[:size], state.committed
-            short = min(len(prefix), len(known))
-            split = prefix[:short] != known[:short]
-            longest = prefix if len(prefix) > len(known) else known
+            prefix, committed = log[:size], state.committed
+            common_length = min(len(prefix), len(committed))
+            conflict = prefix[:common_length] != committed[:common_length]
+            longest = prefix if len(prefix) > len(committed) else committed
             after = state._replace(
-                known=put(state.known, i, size),
+                known=replace_at(state.known, i, size),
                 committed=longest,
-                split=state.split or split,
+                split=state.split or conflict,
             )
             if after != state:
                 yield f"commit {size} by {i}", after
@@ -264,16 +276,16 @@
         if state.role[i] == FOLLOWER and not faults.forgets_votes:
             return
         after = state._replace(
-            role=put(state.role, i, FOLLOWER),
-            votes=put(state.votes, i, frozenset()),
-            known=put(state.known, i, 0),
+            role=replace_at(state.role, i, FOLLOWER),
+            votes=replace_at(state.votes, i, frozenset()),
+            known=replace_at(state.known, i, 0),
         )
         if faults.forgets_votes:
-            after = after._replace(voted=put(after.voted, i, -1))
+            after = after._replace(voted=replace_at(after.voted, i, -1))
         if after != state:
             yield f"restart {i}", after
 
-    def one_leader(values):
+    def one_leader_per_term(values):
         leaders = [
             term
             for term, role in zip(values["term"], values["role"], strict=True)
@@ -284,29 +296,29 @@
     return minicheck.Protocol(
         name="agreement",
         candidate=False,
-        fields=Log._fields,
+        fields=AgreementState._fields,
         initial=tuple(start),
         transitions=lambda state: [
             (action, tuple(after)) for action, after in transitions(state)
         ],
         invariants={
-            "one_leader_a_term": one_leader,
+            "one_leader_a_term": one_leader_per_term,
             "commits_agree": lambda values: not values["split"],
         },
     )
 
 
-class Ledger(NamedTuple):
+class LedgerState(NamedTuple):
     """State of the ledger specification: one key, two entries.
 
     Attributes:
         record: ``none``, or (state, attempt).
-        entry: Step of each entry's attempt: ``idle``, ``asked``,
+        entry: State of each entry's attempt: ``idle``, ``asked``,
             ``granted``, ``sent``, ``told no``, ``told unknown``, ``told done``
             or ``dead``.
-        wire: Commands that may still commit, or never.
-        flying: Attempts whose bytes may still reach the upstream.
-        runs: Attempts that ran, in order.
+        wire: Submitted commands, which may commit later or never.
+        flying: Sent attempts that may still reach the upstream.
+        runs: Attempts that the upstream ran, in order.
     """
 
     record: object
@@ -317,7 +329,7 @@
 
 
 class LedgerFaults(NamedTuple):
-    """Faults that a broken ledger has."""
+    """Faults of a faulty variant of the ledger specification."""
 
     retries_after_bytes: bool = False
     withdraws_lost: bool = False
@@ -325,15 +337,15 @@
     sends_ungranted: bool = False
 
 
-SOUND_LEDGER = LedgerFaults()
+NO_LEDGER_FAULTS = LedgerFaults()
 
 
-def ledger_model(faults=SOUND_LEDGER):  # noqa: PLR0915
+def ledger_model(faults=NO_LEDGER_FAULTS):  # noqa: PLR0915
     """Returns the specification of calls, resends and entry death."""
     attempts = (0, 1)
 
-    def transitions(raw):
-        state = Ledger(*raw)
+    def transitions(state_values):
+        state = LedgerState(*state_values)
         for i in attempts:
             yield from ask(state, i)
             yield from begin(state, i)
@@ -351,12 +363,12 @@
             yield (
                 f"ask {i}",
                 state._replace(
-                    entry=put(state.entry, i, "asked"),
+                    entry=replace_at(state.entry, i, "asked"),
                     wire=state.wire | {("begin", i)},
                 ),
             )
 
-    def committed_begin(state, i):
+    def apply_begin(state, i):
         if state.record == "none":
             return ("running", i), True
         kind, owner = state.record
@@ -367,39 +379,39 @@
         return state.record, False
 
     def begin(state, i):
-        """The intent commits and its answer comes back."""
+        """The begin command commits and the entry receives the outcome."""
         if state.entry[i] != "asked" or ("begin", i) not in state.wire:
             return
-        record, granted = committed_begin(state, i)
+        record, granted = apply_begin(state, i)
         step = "granted" if granted else "told done"
         yield (
             f"begin {i}",
             state._replace(
                 record=record,
-                entry=put(state.entry, i, step),
+                entry=replace_at(state.entry, i, step),
                 wire=state.wire - {("begin", i)},
             ),
         )
 
     def grant_lost(state, i):
-        """The entry hears nothing: it refuses and withdraws."""
+        """The entry gets no reply: it refuses the request and withdraws."""
         if state.entry[i] != "asked":
             return
         step = "granted" if faults.sends_ungranted else "told no"
         yield (
             f"give up {i}",
             state._replace(
-                entry=put(state.entry, i, step),
+                entry=replace_at(state.entry, i, step),
                 wire=state.wire | {("withdraw", i)},
             ),
         )
 
     def late(state, command):
-        """A command commits after its sender stopped to wait."""
+        """A command commits after its sender has stopped waiting."""
         kind, i = command
         record = state.record
         if kind == "begin":
-            record, _ = committed_begin(state, i)
+            record, _ = apply_begin(state, i)
         elif record != "none" and record[1] == i:
             if kind == "withdraw" and record[0] != "done":
                 record = "none"
@@ -417,18 +429,18 @@
             yield (
                 f"send {i}",
                 state._replace(
-                    entry=put(state.entry, i, "sent"),
+                    entry=replace_at(state.entry, i, "sent"),
                     flying=state.flying | {i},
                 ),
             )
 
     def refuse(state, i):
-        """The connection never opens."""
+        """The connection to the upstream cannot be opened."""
         if state.entry[i] == "granted":
             yield (
                 f"never opened {i}",
                 state._replace(
-                    entry=put(state.entry, i, "told no"),
+                    entry=replace_at(state.entry, i, "told no"),
                     wire=state.wire | {("withdraw", i)},
                 ),
             )
@@ -449,22 +461,22 @@
             yield (
                 f"answer {i}",
                 state._replace(
-                    entry=put(state.entry, i, "told done"),
+                    entry=replace_at(state.entry, i, "told done"),
                     wire=state.wire | {("finish", i)},
                 ),
             )
-        lost = "withdraw" if faults.withdraws_lost else "lose"
+        loss_command = "withdraw" if faults.withdraws_lost else "lose"
         step = "granted" if faults.retries_after_bytes else "told unknown"
         yield (
             f"answer lost {i}",
             state._replace(
-                entry=put(state.entry, i, step),
-                wire=state.wire | {(lost, i)},
+                entry=replace_at(state.entry, i, step),
+                wire=state.wire | {(loss_command, i)},
             ),
         )
 
     def die(state, i):
-        """The entry dies; control marks its running call unknown."""
+        """The entry crashes; control marks its running call as unknown."""
         if state.entry[i] in ("idle", "dead"):
             return
         record = state.record
@@ -472,10 +484,12 @@
             record = ("unknown", i)
         yield (
             f"die {i}",
-            state._replace(record=record, entry=put(state.entry, i, "dead")),
+            state._replace(
+                record=record, entry=replace_at(state.entry, i, "dead")
+            ),
         )
 
-    def refusals_are_true(values):
+    def refused_attempts_did_not_run(values):
         return not any(
             step == "told no" and (i in values["runs"])
             for i, step in enumerate(values["entry"])
@@ -484,27 +498,27 @@
     return minicheck.Protocol(
         name="ledger",
         candidate=False,
-        fields=Ledger._fields,
+        fields=LedgerState._fields,
         initial=tuple(
-            Ledger("none", ("idle", "idle"), frozenset(), frozenset(), ())
+            LedgerState("none", ("idle", "idle"), frozenset(), frozenset(), ())
         ),
         transitions=lambda state: [
             (action, tuple(after)) for action, after in transitions(state)
         ],
         invariants={
             "at_most_once": lambda values: len(values["runs"]) <= 1,
-            "not_run_is_true": refusals_are_true,
+            "not_run_is_true": refused_attempts_did_not_run,
         },
     )
 
 
 def holds(protocol, max_states):
-    """Checks a protocol; returns (all hold, states, shortest trace)."""
+    """Checks a protocol; returns (all hold, report, shortest trace)."""
     report = minicheck.check_safety(protocol, max_states=max_states)
     traces = [
-        found["counterexample"]
-        for found in report["properties"].values()
-        if found["holds"] is False
+        result["counterexample"]
+        for result in report["properties"].values()
+        if result["holds"] is False
     ]
     return not traces, report, min(traces, key=len, default=None)
 
