--- a/src/_arbutuswalk/agreement/election.py
+++ b/src/_arbutuswalk/agreement/election.py
@@ -1,4 +1,4 @@
-"""Elections: trial votes, votes, terms and stepping down."""
+"""Leader election: trial votes (pre-votes), votes and stepping down."""
 
 from _arbutuswalk.agreement import lease
 from _arbutuswalk.agreement import replica as replicas
@@ -9,61 +9,69 @@
 
 
 def tick(replica: replicas.Replica, now: float) -> None:
-    """Stands for election when no leader was heard for long enough."""
+    """Starts an election at the timeout; steps down without a live quorum."""
     if replica.role is types.Role.LEADER:
         if not lease.has_live_quorum(replica, now):
-            terms.follow(replica, replica.term, "", now)
+            terms.become_follower(replica, replica.term, "", now)
         return
-    if replica.is_voter and now >= replica.election_at:
-        _ask(replica, now, trial=True)
+    if replica.is_voter and now >= replica.election_due_at:
+        _start_election(replica, now, trial=True)
 
 
 def on_vote_request(
     replica: replicas.Replica, request: ttypes.VoteRequest, now: float
 ) -> None:
-    """Answers a vote, unless a live leader makes it pointless."""
-    if request.term < replica.term or _hears_leader(replica, now):
-        _reply(replica, request, granted=False)
+    """Answers a vote request; refuses it while a live leader is known."""
+    if request.term < replica.term or _has_live_leader(replica, now):
+        _send_vote_reply(replica, request, granted=False)
         return
     if not request.trial and request.term > replica.term:
-        terms.follow(replica, request.term, "", now)
-    free = replica.voted_for in ("", request.candidate)
-    granted = _is_current(replica, request) and (request.trial or free)
+        terms.become_follower(replica, request.term, "", now)
+    vote_available = replica.voted_for in ("", request.candidate)
+    granted = _log_is_current(replica, request) and (
+        request.trial or vote_available
+    )
     if granted and not request.trial:
         replica.voted_for = request.candidate
-        replica.vote_changed = True
-        terms.postpone(replica, now)
-    _reply(replica, request, granted=granted)
+        replica.vote_unsaved = True
+        terms.reset_election_timeout(replica, now)
+    _send_vote_reply(replica, request, granted=granted)
 
 
 def on_vote_reply(
     replica: replicas.Replica, reply: ttypes.VoteReply, now: float
 ) -> None:
-    """Counts a vote."""
+    """Counts a granted vote; a higher term makes this member a follower."""
     if reply.term > replica.term:
-        terms.follow(replica, reply.term, "", now)
+        terms.become_follower(replica, reply.term, "", now)
         return
     trial = replica.role is types.Role.TRIAL
     if replica.role not in (types.Role.TRIAL, types.Role.CANDIDATE):
         return
-    asked = replica.term + 1 if trial else replica.term
-    if reply.trial != trial or reply.asked_term != asked or not reply.granted:
+    expected_term = replica.term + 1 if trial else replica.term
+    if (
+        reply.trial != trial
+        or reply.asked_term != expected_term
+        or not reply.granted
+    ):
         return
-    replica.votes.add(reply.voter)
-    _count(replica, now)
+    replica.granted_by.add(reply.voter)
+    _advance_on_majority(replica, now)
 
 
-def _ask(replica: replicas.Replica, now: float, *, trial: bool) -> None:
+def _start_election(
+    replica: replicas.Replica, now: float, *, trial: bool
+) -> None:
     replica.leader = ""
-    replica.votes = {replica.member}
-    terms.postpone(replica, now)
+    replica.granted_by = {replica.member}
+    terms.reset_election_timeout(replica, now)
     if trial:
         replica.role = types.Role.TRIAL
     else:
         replica.role = types.Role.CANDIDATE
         replica.term += 1
         replica.voted_for = replica.member
-        replica.vote_changed = True
+        replica.vote_unsaved = True
     term = replica.term + 1 if trial else replica.term
     for voter in replica.log.members.voters:
         if voter != replica.member:
@@ -75,14 +83,14 @@
                 trial=trial,
             )
             replica.send(voter, request, after_sync=True)
-    _count(replica, now)
+    _advance_on_majority(replica, now)
 
 
-def _count(replica: replicas.Replica, now: float) -> None:
-    if not replicas.is_quorum(replica.log.members.voters, replica.votes):
+def _advance_on_majority(replica: replicas.Replica, now: float) -> None:
+    if not replicas.is_quorum(replica.log.members.voters, replica.granted_by):
         return
     if replica.role is types.Role.TRIAL:
-        _ask(replica, now, trial=False)
+        _start_election(replica, now, trial=False)
         return
     replica.role = types.Role.LEADER
     replica.leader = replica.member
@@ -90,7 +98,7 @@
     replication.start_term(replica, now)
 
 
-def _reply(
+def _send_vote_reply(
     replica: replicas.Replica, request: ttypes.VoteRequest, *, granted: bool
 ) -> None:
     reply = ttypes.VoteReply(
@@ -103,13 +111,15 @@
     replica.send(request.candidate, reply, after_sync=True)
 
 
-def _hears_leader(replica: replicas.Replica, now: float) -> bool:
+def _has_live_leader(replica: replicas.Replica, now: float) -> bool:
     if replica.role is types.Role.LEADER:
         return lease.has_live_quorum(replica, now)
-    return now - replica.heard_at < replica.timing.election_s
+    return now - replica.leader_heard_at < replica.timing.election_s
 
 
-def _is_current(replica: replicas.Replica, request: ttypes.VoteRequest) -> bool:
+def _log_is_current(
+    replica: replicas.Replica, request: ttypes.VoteRequest
+) -> bool:
     log = replica.log
-    theirs = (request.last_term, request.last_index)
-    return theirs >= (log.last_term, log.last_index)
+    candidate_position = (request.last_term, request.last_index)
+    return candidate_position >= (log.last_term, log.last_index)
--- a/src/_arbutuswalk/agreement/lease.py
+++ b/src/_arbutuswalk/agreement/lease.py
@@ -1,60 +1,61 @@
-"""The leader's lease on monotonic time."""
+"""The leader's lease, measured on its monotonic clock."""
 
 from _arbutuswalk.agreement import replica as replicas
 from _arbutuswalk.agreement import types
 
 
 def quorum_acked_at(replica: replicas.Replica, now: float) -> float:
-    """Returns when the newest message that a majority answered was sent.
+    """Returns the send time of the newest message a majority acknowledged.
 
-    Counting from the sending, not the receipt, keeps the lease inside the
-    time during which those members refuse to vote for another.
+    Counting from the send time, not from the receipt of the replies, makes
+    the lease end before those members vote for another candidate.
     """
     voters = replica.log.members.voters
-    times = sorted(
-        (_acked_at(replica, voter, now) for voter in voters), reverse=True
+    send_times = sorted(
+        (_acked_sent_at(replica, voter, now) for voter in voters), reverse=True
     )
-    return times[len(voters) // 2] if times else float("-inf")
+    return send_times[len(voters) // 2] if send_times else float("-inf")
 
 
 def has_live_quorum(replica: replicas.Replica, now: float) -> bool:
-    """Tells whether a majority answered within an election timeout.
+    """Returns whether a majority answered within one election timeout.
 
     A member counts as live for one election timeout after it was added, so
-    that a new leader does not step down before anyone could answer. The
-    lease knows no such grace.
+    that a new leader does not step down before any member could answer. The
+    lease has no such grace period.
     """
     voters = replica.log.members.voters
-    oldest = now - replica.timing.election_s
+    live_after = now - replica.timing.election_s
     live = {
         voter
         for voter in voters
-        if _acked_at(replica, voter, now) > oldest
-        or _added_at(replica, voter) > oldest
+        if _acked_sent_at(replica, voter, now) > live_after
+        or _tracked_since(replica, voter) > live_after
     }
     return replicas.is_quorum(voters, live)
 
 
 def holds(replica: replicas.Replica, now: float) -> bool:
-    """Tells whether this member may decide alone at ``now``.
+    """Returns whether this member holds the leader's lease at ``now``.
 
-    It may while no other member can have been elected, and once an entry of
-    its own term is committed, so that it knows all that was committed before.
+    While it does, no other member can have been elected. It also needs a
+    committed entry of its own term, which shows that it has every entry
+    committed before.
     """
     if replica.role is not types.Role.LEADER:
         return False
-    if replica.commit < replica.term_start:
+    if replica.commit < replica.term_start_index:
         return False
     return now < quorum_acked_at(replica, now) + replica.timing.lease_s
 
 
-def _acked_at(replica: replicas.Replica, voter: str, now: float) -> float:
+def _acked_sent_at(replica: replicas.Replica, voter: str, now: float) -> float:
     if voter == replica.member:
         return now
     progress = replica.progress.get(voter)
-    return progress.acked_at if progress else float("-inf")
+    return progress.acked_sent_at if progress else float("-inf")
 
 
-def _added_at(replica: replicas.Replica, voter: str) -> float:
+def _tracked_since(replica: replicas.Replica, voter: str) -> float:
     progress = replica.progress.get(voter)
-    return progress.added_at if progress else float("-inf")
+    return progress.tracked_since if progress else float("-inf")
--- a/src/_arbutuswalk/agreement/membership.py
+++ b/src/_arbutuswalk/agreement/membership.py
@@ -1,8 +1,8 @@
-"""Founding the group and changing its members one at a time.
+"""Bootstrapping the group and changing its members one at a time.
 
-Member ids are drawn new with every data folder. A member that lost its disk
-comes back as a stranger, so that a forgotten vote or a lost entry can never be
-counted again.
+Every new data folder gets a new member id. A member that lost its disk comes
+back under a new id, so that the votes and acknowledgements it no longer
+remembers are never counted again.
 """
 
 from _arbutuswalk.agreement import replica as replicas
@@ -11,11 +11,11 @@
 from _arbutuswalk.agreement import types
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-FRESH_S = 2.0
+HELLO_MAX_AGE_S = 2.0
 
 
 def hello(replica: replicas.Replica) -> ttypes.Hello:
-    """Returns what this member says of itself."""
+    """Returns the message that announces this member's id and group."""
     return ttypes.Hello(
         member=replica.member,
         address=replica.address,
@@ -24,24 +24,25 @@
 
 
 def greeted(replica: replicas.Replica, now: float) -> set[str]:
-    """Returns the addresses of the group to say hello to.
+    """Returns the addresses to send a ``Hello`` to.
 
-    Members that said hello lately count too: one that lost its disk knows only
-    the configured addresses, and the leader need not be at any of them.
+    They include the senders of recent ``Hello`` messages: a member that lost
+    its disk knows only the configured addresses, and the leader may be at none
+    of them.
     """
-    known = set(replica.log.members.addresses.values())
-    heard = {
+    member_addresses = set(replica.log.members.addresses.values())
+    recent = {
         seen.address
         for seen in replica.seen.values()
-        if now - seen.at < FRESH_S
+        if now - seen.at < HELLO_MAX_AGE_S
     }
-    return (known | heard | {*replica.peers}) - {replica.address}
+    return (member_addresses | recent | {*replica.peers}) - {replica.address}
 
 
 def on_hello(
     replica: replicas.Replica, message: ttypes.Hello, now: float
 ) -> None:
-    """Notes who is behind an address."""
+    """Records which member listens at an address."""
     for member, seen in list(replica.seen.items()):
         if seen.address == message.address and member != message.member:
             del replica.seen[member]
@@ -51,42 +52,47 @@
 
 
 def tick(replica: replicas.Replica, now: float) -> None:
-    """Founds a group, or lets the leader make the next change."""
+    """Bootstraps a group, or makes the leader's next membership change."""
     if not replica.log.members.group:
-        _found(replica, now)
+        _bootstrap_group(replica, now)
     if replica.role is not types.Role.LEADER:
         return
-    changed_at = replica.log.members_at[-1][0]
-    if replica.commit < max(replica.term_start, changed_at):
+    changed_at = replica.log.membership_history[-1][0]
+    if replica.commit < max(replica.term_start_index, changed_at):
         return
     if not replica.is_voter:
-        terms.follow(replica, replica.term, "", now)
+        terms.become_follower(replica, replica.term, "", now)
         return
-    members = _next_members(replica, now)
+    members = _next_membership(replica, now)
     if members is not None:
         replication.propose(replica, types.pack_members(members), now)
 
 
 def accepts_commands(replica: replicas.Replica) -> bool:
-    """Tells whether the group has ever been complete."""
+    """Returns whether the group once had its full number of voters."""
     return replica.log.members.formed
 
 
-def _found(replica: replicas.Replica, now: float) -> None:
-    """Founds a group when every configured peer is here and blank.
+def _bootstrap_group(replica: replicas.Replica, now: float) -> None:
+    """Bootstraps a group if all configured peers are seen and have none.
 
-    Only the member at the lowest address founds, and only if all are seen:
-    a member that lost its disk meets a peer with a group and joins that.
+    Only the member at the lowest address does it. Because all peers must be
+    seen, a member that lost its disk finds the peer that has a group and joins
+    that group.
     """
-    fresh = {
+    group_by_address = {
         seen.address: seen.group
         for seen in replica.seen.values()
-        if now - seen.at < FRESH_S
+        if now - seen.at < HELLO_MAX_AGE_S
     }
-    others = set(replica.peers) - {replica.address}
-    blank = all(fresh.get(address) == "" for address in others)
-    first = replica.address == min(replica.peers, default="")
-    if not (blank and first and replica.log.last_index == 0):
+    other_addresses = set(replica.peers) - {replica.address}
+    no_peer_has_group = all(
+        group_by_address.get(address) == "" for address in other_addresses
+    )
+    has_lowest_address = replica.address == min(replica.peers, default="")
+    if not (
+        no_peer_has_group and has_lowest_address and replica.log.last_index == 0
+    ):
         return
     members = types.Members(
         group=f"{replica.rng.getrandbits(64):016x}",
@@ -98,82 +104,92 @@
     replica.log.append(entry)
     replica.term = 1
     replica.voted_for = replica.member
-    replica.vote_changed = True
+    replica.vote_unsaved = True
 
 
-def _next_members(
+def _next_membership(
     replica: replicas.Replica, now: float
 ) -> types.Members | None:
-    """Returns the members after the next single change, if one is due."""
+    """Returns the membership after the next single change, if one is due."""
     members = replica.log.members
     if len(members.voters) > replica.target_voters:
-        lost = _lost_voter(replica, now)
-        if lost:
-            return _without(members, lost)
-    ready = _ready_learner(replica, now)
-    short = len(members.voters) < replica.target_voters
-    lost = _lost_voter(replica, now)
-    if ready and (short or lost):
-        return _with_voter(replica, members, ready)
+        replaceable = _voter_to_replace(replica, now)
+        if replaceable:
+            return _without_member(members, replaceable)
+    caught_up = _caught_up_learner(replica, now)
+    too_few_voters = len(members.voters) < replica.target_voters
+    replaceable = _voter_to_replace(replica, now)
+    if caught_up and (too_few_voters or replaceable):
+        return _with_promoted_voter(replica, members, caught_up)
     for learner in members.learners:
-        if _silent(replica, learner, now):
-            return _without(members, learner)
-    stranger = _stranger(replica, now)
-    if stranger and (short or lost) and not members.learners:
+        if _is_unresponsive(replica, learner, now):
+            return _without_member(members, learner)
+    joining = _joining_member(replica, now)
+    if joining and (too_few_voters or replaceable) and not members.learners:
         addresses = dict(members.addresses)
-        addresses[stranger] = replica.seen[stranger].address
-        learners = (*members.learners, stranger)
+        addresses[joining] = replica.seen[joining].address
+        learners = (*members.learners, joining)
         return members._replace(learners=learners, addresses=addresses)
     return None
 
 
-def _lost_voter(replica: replicas.Replica, now: float) -> str:
-    """Returns a voter to replace, or an empty string."""
+def _voter_to_replace(replica: replicas.Replica, now: float) -> str:
+    """Returns a voter that needs replacement, or an empty string."""
     members = replica.log.members
     by_address = {
         seen.address: member
         for member, seen in replica.seen.items()
-        if now - seen.at < FRESH_S
+        if now - seen.at < HELLO_MAX_AGE_S
     }
     for voter in members.voters:
         if voter == replica.member:
             continue
-        now_there = by_address.get(members.addresses[voter], voter)
-        asked = voter == replica.replace_asked
-        if asked or now_there != voter or _silent(replica, voter, now):
+        current_member = by_address.get(members.addresses[voter], voter)
+        requested = voter == replica.replace_asked
+        if (
+            requested
+            or current_member != voter
+            or _is_unresponsive(replica, voter, now)
+        ):
             return voter
     return ""
 
 
-def _silent(replica: replicas.Replica, member: str, now: float) -> bool:
+def _is_unresponsive(
+    replica: replicas.Replica, member: str, now: float
+) -> bool:
     progress = replica.progress.get(member)
-    heard_at = progress.heard_at if progress else now
-    return now - heard_at > replica.timing.replace_after_s
+    last_reply_at = progress.last_reply_at if progress else now
+    return now - last_reply_at > replica.timing.replace_after_s
 
 
-def _ready_learner(replica: replicas.Replica, now: float) -> str:
-    """Returns a learner that holds, durably, all that is committed."""
-    limit = now - replica.timing.election_s
+def _caught_up_learner(replica: replicas.Replica, now: float) -> str:
+    """Returns a learner whose durable log has all committed entries."""
+    acked_after = now - replica.timing.election_s
     for learner in replica.log.members.learners:
         progress = replica.progress.get(learner)
-        if progress is None or progress.acked_at < limit:
+        if progress is None or progress.acked_sent_at < acked_after:
             continue
         if progress.match_index >= replica.commit:
             return learner
     return ""
 
 
-def _stranger(replica: replicas.Replica, now: float) -> str:
+def _joining_member(replica: replicas.Replica, now: float) -> str:
     members = replica.log.members
-    known = {*members.voters, *members.learners}
+    known_members = {*members.voters, *members.learners}
     for member, seen in sorted(replica.seen.items()):
-        fresh = now - seen.at < FRESH_S
-        if fresh and member not in known and seen.group in ("", members.group):
+        is_recent = now - seen.at < HELLO_MAX_AGE_S
+        if (
+            is_recent
+            and member not in known_members
+            and seen.group in ("", members.group)
+        ):
             return member
     return ""
 
 
-def _with_voter(
+def _with_promoted_voter(
     replica: replicas.Replica, members: types.Members, member: str
 ) -> types.Members:
     voters = (*members.voters, member)
@@ -182,7 +198,7 @@
     return members._replace(voters=voters, learners=learners, formed=formed)
 
 
-def _without(members: types.Members, member: str) -> types.Members:
+def _without_member(members: types.Members, member: str) -> types.Members:
     addresses = dict(members.addresses)
     addresses.pop(member, None)
     return members._replace(
--- a/src/_arbutuswalk/agreement/replica.py
+++ b/src/_arbutuswalk/agreement/replica.py
@@ -9,40 +9,42 @@
 
 
 class Progress:
-    """What the leader knows of another member.
+    """The leader's view of another member.
 
     Attributes:
         next_index: First entry to send next.
-        match_index: Last entry known to be durable there.
-        acked_at: Leader's time at which the newest answered message was sent.
-        added_at: Leader's time at which it began to track the member.
-        heard_at: Leader's time at which the member last answered.
-        in_flight: Entries sent and not yet answered.
-        sent_at: When entries were last sent.
+        match_index: Last entry known to be durable on the member.
+        acked_sent_at: Leader's time at which it sent the newest acknowledged
+            message.
+        tracked_since: Leader's time at which it started to track the member.
+        last_reply_at: Leader's time at which the member last answered.
+        in_flight: Entries sent and not yet acknowledged.
+        entries_sent_at: When entries were last sent.
     """
 
     def __init__(self, *, next_index: int, now: float):
         self.next_index = next_index
         self.match_index = 0
-        self.acked_at = float("-inf")
-        self.added_at = now
-        self.heard_at = now
+        self.acked_sent_at = float("-inf")
+        self.tracked_since = now
+        self.last_reply_at = now
         self.in_flight = 0
-        self.sent_at = float("-inf")
+        self.entries_sent_at = float("-inf")
 
 
 class Transfer:
     """A snapshot being received.
 
     Attributes:
-        index: Last entry it covers.
-        term: That entry's term.
-        total: Size in bytes.
-        checksum: CRC-32 of the whole.
+        index: Index of the last entry it covers.
+        term: Term of that entry.
+        total_bytes: Size in bytes.
+        checksum: CRC-32 of the whole snapshot.
         sources: Members that may have it.
-        data: What came in so far.
-        asked_at: When the last piece was asked for.
-        attempts: Pieces asked for, which picks the source.
+        data: Bytes received so far.
+        requested_at: When the last piece was requested.
+        source_position: Position in ``sources``, modulo their number, of the
+            member to request the next piece from.
     """
 
     def __init__(
@@ -50,27 +52,27 @@
         *,
         index: int,
         term: int,
-        total: int,
+        total_bytes: int,
         checksum: int,
         sources: list[str],
     ):
         self.index = index
         self.term = term
-        self.total = total
+        self.total_bytes = total_bytes
         self.checksum = checksum
         self.sources = sources
         self.data = bytearray()
-        self.asked_at = float("-inf")
-        self.attempts = 0
+        self.requested_at = float("-inf")
+        self.source_position = 0
 
 
 class Seen(NamedTuple):
-    """A member that said hello.
+    """A member that sent a ``Hello``.
 
     Attributes:
         address: ``IP:port`` where it listens.
         group: Group it belongs to, or empty.
-        at: When it was heard.
+        at: When the message came in.
     """
 
     address: str
@@ -79,36 +81,38 @@
 
 
 class Replica:
-    """One member's part in the replicated log.
+    """State of one member of the replicated log.
 
     Attributes:
-        member: Own id, new with every data folder.
+        member: This member's id, new with every data folder.
         address: ``IP:port`` it listens on.
-        timing: Durations.
-        rng: Draws election delays and the group's name.
+        timing: Timeouts and intervals.
+        rng: Source of election delays and of the group's random name.
         target_voters: How many voters the group should have.
-        peers: Configured addresses, own included, that found a new group.
+        peers: Configured addresses, including its own, of the members that
+            bootstrap a new group.
         term: Highest term seen.
-        voted_for: Who got this member's vote in ``term``.
-        vote_changed: Whether the two above wait to be made durable.
+        voted_for: Candidate that has this member's vote in ``term``, or empty.
+        vote_unsaved: Whether ``term`` and ``voted_for`` are yet to be saved.
         role: Current role.
         leader: Leader of ``term`` if known, or empty.
-        heard_at: When a live leader was last heard, or the start.
-        election_at: When to stand for election.
-        votes: Who granted a vote in the current (trial) election.
+        leader_heard_at: When the leader was last heard from, or the start
+            time.
+        election_due_at: When to start an election unless a leader is heard.
+        granted_by: Voters that granted a vote in the current (trial) election.
         log: Entries held in memory.
-        durable_index: Last own entry known to be durable.
+        durable_index: Last entry known to be durable on this member.
         commit: Last entry known to be committed.
-        commit_taken: Commit index last handed out to be made durable.
-        progress: Other members, on the leader.
-        term_start: Index of the leader's first entry in its term.
-        heartbeat_at: When the leader sends again.
+        last_taken_commit: Commit index last returned to be made durable.
+        progress: The leader's view of each other member, by id.
+        term_start_index: Index of the leader's first entry in its term.
+        next_heartbeat_at: When the leader sends its next heartbeat.
         outbox: Messages to send.
         transfer: Snapshot being received.
         snapshots: Packed snapshots that can be served, by index.
-        installed: Snapshot that waits to be made durable.
-        seen: Members that said hello, by id.
-        replace_asked: Voter whose replacement an operator ordered.
+        installed_snapshot: Received snapshot that is yet to be made durable.
+        seen: Members that sent a ``Hello``, by id.
+        replace_asked: Voter that an operator wants replaced, or empty.
     """
 
     def __init__(
@@ -133,59 +137,59 @@
         self.peers = peers
         self.term = vote.term if vote else 0
         self.voted_for = vote.voted_for if vote else ""
-        self.vote_changed = False
+        self.vote_unsaved = False
         self.role = types.Role.FOLLOWER
         self.leader = ""
-        # A restart forgets which leader was heard; waiting a whole election
-        # timeout keeps the promise that leader's lease rests on.
-        self.heard_at = now
-        self.election_at = now + timing.election_s * (1 + rng.random())
-        self.votes: set[str] = set()
+        # A restarted member does not know which leader it heard before. Waiting
+        # a whole election timeout keeps that leader's lease valid.
+        self.leader_heard_at = now
+        self.election_due_at = now + timing.election_s * (1 + rng.random())
+        self.granted_by: set[str] = set()
         self.log = log or raftlog.RaftLog()
         self.durable_index = self.log.last_index
         self.commit = max(self.log.base_index, commit)
-        self.commit_taken = self.commit
+        self.last_taken_commit = self.commit
         self.progress: dict[str, Progress] = {}
-        self.term_start = 0
-        self.heartbeat_at = now
+        self.term_start_index = 0
+        self.next_heartbeat_at = now
         self.outbox: list[types.Outgoing] = []
         self.transfer: Transfer | None = None
         self.snapshots: dict[int, bytes] = {}
-        self.installed: wal.Snapshot | None = None
+        self.installed_snapshot: wal.Snapshot | None = None
         self.seen: dict[str, Seen] = {}
         self.replace_asked = ""
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes."""
+        """Whether this member is a voter of the group."""
         return self.member in self.log.members.voters
 
     def send(self, to: str, message: object, *, after_sync: bool) -> None:
-        """Queues a message."""
+        """Queues a message, with ``after_sync`` until the state is synced."""
         self.outbox.append(types.Outgoing(to, message, after_sync))
 
 
 def is_quorum(voters: tuple[str, ...], agreeing: set[str]) -> bool:
-    """Tells whether ``agreeing`` holds a majority of ``voters``."""
+    """Returns whether ``agreeing`` includes a majority of ``voters``."""
     return len(agreeing.intersection(voters)) * 2 > len(voters)
 
 
 def take_ready(replica: Replica) -> types.Ready:
-    """Returns and clears the work that waits to be done."""
+    """Returns the pending work and clears it."""
     vote = None
-    if replica.vote_changed:
+    if replica.vote_unsaved:
         vote = wal.Vote(replica.term, replica.voted_for)
     outbox, replica.outbox = replica.outbox, []
-    snapshot, replica.installed = replica.installed, None
-    replica.vote_changed = False
+    snapshot, replica.installed_snapshot = replica.installed_snapshot, None
+    replica.vote_unsaved = False
     commit = None
-    if replica.commit > replica.commit_taken:
-        commit = replica.commit_taken = replica.commit
+    if replica.commit > replica.last_taken_commit:
+        commit = replica.last_taken_commit = replica.commit
     return types.Ready(
-        early=[out for out in outbox if not out.after_sync],
+        early=[outgoing for outgoing in outbox if not outgoing.after_sync],
         snapshot=snapshot,
         vote=vote,
         entries=replica.log.take_unsaved(),
-        late=[out for out in outbox if out.after_sync],
+        late=[outgoing for outgoing in outbox if outgoing.after_sync],
         commit=commit,
     )
--- a/src/_arbutuswalk/agreement/snapshot.py
+++ b/src/_arbutuswalk/agreement/snapshot.py
@@ -1,21 +1,23 @@
-"""Packing members and tables into one snapshot."""
+"""Serialization of members and tables into one snapshot."""
 
 import struct
 
 from _arbutuswalk.agreement import types
 
-_HEAD = struct.Struct(">I")
+_MEMBERS_LENGTH = struct.Struct(">I")
 
 
 def pack(members: types.Members, tables: bytes) -> bytes:
-    """Returns snapshot bytes, equal for equal members and tables."""
-    head = types.pack_members(members)
-    return _HEAD.pack(len(head)) + head + tables
+    """Returns the snapshot; equal members and tables give equal bytes."""
+    packed_members = types.pack_members(members)
+    return _MEMBERS_LENGTH.pack(len(packed_members)) + packed_members + tables
 
 
 def unpack(data: bytes) -> tuple[types.Members, bytes]:
-    """Returns the members and the bytes of the tables."""
-    (size,) = _HEAD.unpack_from(data)
-    start = _HEAD.size
-    members = types.unpack_members(data[start : start + size])
-    return members, data[start + size :]
+    """Returns the members and the serialized tables of a snapshot."""
+    (members_length,) = _MEMBERS_LENGTH.unpack_from(data)
+    members_start = _MEMBERS_LENGTH.size
+    members = types.unpack_members(
+        data[members_start : members_start + members_length]
+    )
+    return members, data[members_start + members_length :]
--- a/src/_arbutuswalk/agreement/step.py
+++ b/src/_arbutuswalk/agreement/step.py
@@ -1,4 +1,4 @@
-"""One entry point for messages and one for the passing of time."""
+"""Entry points of the protocol: one for messages, one for timers."""
 
 from _arbutuswalk.agreement import election
 from _arbutuswalk.agreement import membership
@@ -19,7 +19,7 @@
 
 
 def receive(replica: replicas.Replica, message: object, now: float) -> None:
-    """Takes one message from another member."""
+    """Handles one message from another member."""
     if isinstance(message, ttypes.PieceRequest):
         transfer.on_piece_request(replica, message)
         return
@@ -29,7 +29,7 @@
 
 
 def tick(replica: replicas.Replica, now: float) -> None:
-    """Runs what is due at ``now``."""
+    """Runs the timers that are due at ``now``."""
     election.tick(replica, now)
     membership.tick(replica, now)
     replication.tick(replica, now)
--- a/src/_arbutuswalk/agreement/transfer.py
+++ b/src/_arbutuswalk/agreement/transfer.py
@@ -1,8 +1,8 @@
 """Snapshot transfer: the receiver fetches pieces from any member.
 
-All members take snapshots at the same indices of the same tables, so their
-bytes are equal and a piece may come from any of them. A transfer that stalls
-goes on at its offset with the next source.
+All members take snapshots of the same tables at the same indices, so their
+bytes are equal and a piece may come from any of them. A stalled transfer
+resumes at its offset from the next source.
 """
 
 import zlib
@@ -14,11 +14,11 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 PIECE_BYTES = 256 * 1024
-PATIENCE_HEARTBEATS = 5
+PIECE_TIMEOUT_HEARTBEATS = 5
 
 
-def offer(replica: replicas.Replica, member: str) -> None:
-    """Tells a member that is too far behind what to fetch, and where."""
+def send_offer(replica: replicas.Replica, member: str) -> None:
+    """Offers a snapshot to a member whose next entry is compacted away."""
     index = replica.log.base_index
     data = replica.snapshots.get(index)
     if data is None:
@@ -43,40 +43,40 @@
 def on_offer(
     replica: replicas.Replica, message: ttypes.SnapshotOffer, now: float
 ) -> None:
-    """Starts a transfer, or goes on with the one under way."""
-    if _holds(replica, message.last_index, message.last_term):
+    """Starts a transfer, or updates the sources of the current one."""
+    if _log_covers(replica, message.last_index, message.last_term):
         return
     current = replica.transfer
-    same = (
+    is_current = (
         current is not None
         and current.index == message.last_index
         and current.checksum == message.checksum
     )
-    if same:
+    if is_current:
         current.sources = list(message.sources)
         return
     replica.transfer = replicas.Transfer(
         index=message.last_index,
         term=message.last_term,
-        total=message.total,
+        total_bytes=message.total,
         checksum=message.checksum,
         sources=list(message.sources),
     )
-    _ask(replica, now)
+    _request_piece(replica, now)
 
 
 def tick(replica: replicas.Replica, now: float) -> None:
-    """Asks the next source when a piece is overdue."""
+    """Requests the piece from the next source when it is overdue."""
     transfer = replica.transfer
-    patience = PATIENCE_HEARTBEATS * replica.timing.heartbeat_s
-    if transfer is not None and now - transfer.asked_at > patience:
-        _ask(replica, now)
+    piece_timeout_s = PIECE_TIMEOUT_HEARTBEATS * replica.timing.heartbeat_s
+    if transfer is not None and now - transfer.requested_at > piece_timeout_s:
+        _request_piece(replica, now)
 
 
 def on_piece_request(
     replica: replicas.Replica, request: ttypes.PieceRequest
 ) -> None:
-    """Sends a piece, or an empty one when the snapshot is not held."""
+    """Sends a piece, or an empty one if this member lacks the snapshot."""
     data = replica.snapshots.get(request.last_index, b"")
     offset = max(0, request.offset)
     piece = ttypes.Piece(
@@ -91,27 +91,27 @@
 def on_piece(
     replica: replicas.Replica, piece: ttypes.Piece, now: float
 ) -> None:
-    """Adds a piece that fits; installs the snapshot when it is whole."""
+    """Appends the expected piece; installs the snapshot once complete."""
     transfer = replica.transfer
     if transfer is None or piece.last_index != transfer.index:
         return
     if piece.offset != len(transfer.data) or not piece.data:
         return
     transfer.data += piece.data
-    if len(transfer.data) < transfer.total:
-        transfer.attempts -= 1  # this source answers: stay with it
-        _ask(replica, now)
+    if len(transfer.data) < transfer.total_bytes:
+        transfer.source_position -= 1  # the source answers: keep using it
+        _request_piece(replica, now)
         return
     replica.transfer = None
     if zlib.crc32(transfer.data) == transfer.checksum:
         _install(replica, transfer)
 
 
-def _ask(replica: replicas.Replica, now: float) -> None:
+def _request_piece(replica: replicas.Replica, now: float) -> None:
     transfer = replica.transfer
-    source = transfer.sources[transfer.attempts % len(transfer.sources)]
-    transfer.attempts += 1
-    transfer.asked_at = now
+    source = transfer.sources[transfer.source_position % len(transfer.sources)]
+    transfer.source_position += 1
+    transfer.requested_at = now
     request = ttypes.PieceRequest(
         member=replica.member,
         last_index=transfer.index,
@@ -121,7 +121,7 @@
 
 
 def _install(replica: replicas.Replica, transfer: replicas.Transfer) -> None:
-    if _holds(replica, transfer.index, transfer.term):
+    if _log_covers(replica, transfer.index, transfer.term):
         return
     data = bytes(transfer.data)
     members, _ = snapshot.unpack(data)
@@ -129,26 +129,30 @@
     replica.commit = transfer.index
     replica.durable_index = transfer.index
     replica.snapshots = {transfer.index: data}
-    replica.installed = wal.Snapshot(transfer.index, transfer.term, data)
+    replica.installed_snapshot = wal.Snapshot(
+        transfer.index, transfer.term, data
+    )
 
 
-def _holds(replica: replicas.Replica, index: int, term: int) -> bool:
-    """Tells whether the log already holds what the snapshot covers.
+def _log_covers(replica: replicas.Replica, index: int, term: int) -> bool:
+    """Returns whether the log already has all that the snapshot covers.
 
-    Resetting it all the same would drop later entries that this member has
-    acknowledged.
+    Resetting the log in that case would drop later entries that this member
+    has acknowledged.
     """
     return index <= replica.commit or replica.log.term_at(index) == term
 
 
 def keep(replica: replicas.Replica, index: int, data: bytes) -> None:
-    """Serves a snapshot of own tables and forgets the entries it covers."""
-    kept = sorted({*replica.snapshots, index})[-wal.SNAPSHOTS_KEPT :]
+    """Makes a saved snapshot available to others and compacts the log."""
+    retained = sorted({*replica.snapshots, index})[-wal.SNAPSHOTS_KEPT :]
     replica.snapshots[index] = data
-    replica.snapshots = {at: replica.snapshots[at] for at in kept}
+    replica.snapshots = {
+        kept_index: replica.snapshots[kept_index] for kept_index in retained
+    }
     replica.log.compact(index)
 
 
 def members_at(replica: replicas.Replica, index: int) -> types.Members:
-    """Returns the members a snapshot at ``index`` has to carry."""
-    return replica.log.members_before(index)
+    """Returns the members to store in a snapshot at ``index``."""
+    return replica.log.members_at_index(index)
--- a/src/_arbutuswalk/agreement/types.py
+++ b/src/_arbutuswalk/agreement/types.py
@@ -1,4 +1,4 @@
-"""Values that the agreement functions take and return."""
+"""Types shared by the modules of the replicated log."""
 
 import enum
 import json
@@ -12,7 +12,7 @@
 
 
 class Role(enum.Enum):
-    """What a member currently does in its term."""
+    """Role of a member in its term; ``TRIAL`` is a pre-vote."""
 
     FOLLOWER = "follower"
     TRIAL = "trial"
@@ -21,7 +21,7 @@
 
 
 class Timing(NamedTuple):
-    """Durations in seconds.
+    """Timeouts and intervals in seconds.
 
     ``lease_s`` must stay below ``election_s`` by more than the clocks of two
     members can drift apart over one election timeout.
@@ -34,15 +34,15 @@
 
 
 class Members(NamedTuple):
-    """Who belongs to the group.
+    """Membership of the group.
 
     Attributes:
         group: Random name of the group, empty before there is one.
-        voters: Member ids that vote.
-        learners: Member ids that only receive the log.
+        voters: Ids of the members that vote.
+        learners: Ids of the members that receive the log but do not vote.
         addresses: ``IP:port`` of each member id.
-        formed: Whether the group once had its full number of voters; before
-            that it accepts no commands.
+        formed: Whether the group once had its full number of voters; until
+            then it accepts no commands.
     """
 
     group: str = ""
@@ -58,7 +58,8 @@
     Attributes:
         to: Member id.
         message: Generated thrift struct.
-        after_sync: Whether it promises something that has to be durable.
+        after_sync: Whether it may be sent only after the state it confirms is
+            durable.
     """
 
     to: str
@@ -67,11 +68,11 @@
 
 
 class Ready(NamedTuple):
-    """Work the caller has to do, in this order.
+    """Work for the caller, in this order.
 
     Send ``early``; make ``snapshot``, then ``vote``, ``entries`` and
-    ``commit`` durable; call ``replication.saved``; send ``late``. Nothing
-    depends on ``commit`` being durable but how soon a restart knows its state.
+    ``commit`` durable; call ``replication.saved``; send ``late``. A durable
+    ``commit`` only lets a restarted member rebuild its state sooner.
     """
 
     early: list[Outgoing]
--- a/testing/agreement_machine.py
+++ b/testing/agreement_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of election, commit, snapshots, membership and recovery."""
+"""Stateful tests of election, commit, snapshots, membership and recovery."""
 
 import fakes
 import hypothesis.strategies as st
--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes: a folder that loses what was not synced, and a cluster."""
+"""Fakes: a data folder that loses unsynced data in a crash, and a cluster."""
 
 import random
 
@@ -18,15 +18,15 @@
     """A data folder in memory.
 
     Attributes:
-        files: Content as the process sees it.
-        durable: Content as a crash would leave it.
-        full: Whether writes find the disk full.
+        files: Content of each file as the process reads it.
+        durable: Synced content of each file.
+        full: Whether writes fail because the disk is full.
     """
 
     def __init__(self):
         self.files = {}
         self.durable = {}
-        self.synced_names = set()
+        self.durable_names = set()
         self.full = False
         self.skip_sync = False
 
@@ -68,19 +68,19 @@
 
     def sync_folder(self):
         if not self.skip_sync:
-            self.synced_names = set(self.files)
+            self.durable_names = set(self.files)
 
     def crash(self, rng):
-        """Loses what was not synced, but for a random part of the tail."""
-        survivors = {}
-        for name in self.synced_names:
-            kept = self.durable.get(name, b"")
-            written = self.files.get(name, kept)
-            if len(written) > len(kept) and written.startswith(kept):
-                kept = written[: rng.randint(len(kept), len(written))]
-            survivors[name] = kept
-        self.files = survivors
-        self.durable = dict(survivors)
+        """Drops unsynced data, except for a random part of each tail."""
+        surviving_files = {}
+        for name in self.durable_names:
+            surviving = self.durable.get(name, b"")
+            written = self.files.get(name, surviving)
+            if len(written) > len(surviving) and written.startswith(surviving):
+                surviving = written[: rng.randint(len(surviving), len(written))]
+            surviving_files[name] = surviving
+        self.files = surviving_files
+        self.durable = dict(surviving_files)
 
 
 class Node:
@@ -125,21 +125,21 @@
         self.folder = FakeFolder()
 
     @property
-    def leads_with_lease(self):
+    def holds_lease(self):
         if not self.up:
             return False
         return lease.holds(self.core.replica, self.cluster.now)
 
 
 class Cluster:
-    """Control processes on a fake network, clock and disk.
+    """Control processes with a fake network, clock and disks.
 
     Attributes:
-        now: Seconds.
-        nodes: Node by address.
-        cut: Ordered pairs of addresses between which messages are lost.
-        acked: Outcome of each command that a leader acknowledged.
-        on_apply: Called with (node, applied) for each applied entry.
+        now: Time in seconds.
+        nodes: Nodes by address.
+        cut: (from, to) pairs of addresses between which messages are lost.
+        acked: Log index and outcome of each acknowledged command, by its tag.
+        applied: Term and command of the entry applied at each index.
     """
 
     def __init__(
@@ -147,47 +147,47 @@
         seed=0,
         spares=0,
         snapshot_every=15,
-        founders=3,
+        peer_count=3,
         target_voters=3,
     ):
         self.rng = random.Random(seed)
         self.now = 100.0
         self.snapshot_every = snapshot_every
         self.target_voters = target_voters
-        count = founders + spares
-        addresses = [f"127.0.0.1:{7000 + i}" for i in range(count)]
-        peers = tuple(addresses[:founders])
+        node_count = peer_count + spares
+        addresses = [f"127.0.0.1:{7000 + i}" for i in range(node_count)]
+        peers = tuple(addresses[:peer_count])
         self.nodes = {a: Node(self, a, peers) for a in addresses}
         self.cut = set()
         self.loss = 0.0
         self.duplicate = 0.0
-        self.wires = []
-        self.waiting = {}
+        self.in_transit = []
+        self.pending_proposals = {}
         self.acked = {}
         self.applied = {}
-        self.hello_at = 0.0
+        self.next_hello_at = 0.0
         for node in self.nodes.values():
             node.start()
 
     def run(self, seconds, step=0.02):
-        """Lets time pass and delivers messages."""
-        until = self.now + seconds
-        while self.now < until:
+        """Advances the clock step by step and delivers messages."""
+        end_time = self.now + seconds
+        while self.now < end_time:
             self.now += step
-            self.round()
+            self.run_round()
 
-    def round(self):
-        if self.now >= self.hello_at:
-            self.hello_at = self.now + 0.3
-            self._hello()
+    def run_round(self):
+        if self.now >= self.next_hello_at:
+            self.next_hello_at = self.now + 0.3
+            self._send_hellos()
         for node in list(self.nodes.values()):
             if node.up and not node.paused:
-                self._turn(node, node.crash_at)
+                self._run_node(node, node.crash_at)
         self._deliver()
         self.leader()
 
-    def _turn(self, node, crash_at=None):
-        """Runs one round of a node; ``crash_at`` names where it dies."""
+    def _run_node(self, node, crash_at=None):
+        """Runs one round of a node, which crashes at ``crash_at`` if given."""
         inbox, node.inbox = node.inbox, []
         core = node.core
         core.step(inbox, self.now)
@@ -213,43 +213,50 @@
         core = node.core
         while (applied := core.apply_next()) is not None:
             self._check_applied(node, applied)
-            waiting = self.waiting.get((node.address, applied.index))
-            if waiting and waiting[0] == applied.term:
-                del self.waiting[node.address, applied.index]
-                self.acked[waiting[1]] = (applied.index, applied.outcome)
-            made = core.due_snapshot()
-            if made is None:
+            proposal = self.pending_proposals.get((node.address, applied.index))
+            if proposal and proposal[0] == applied.term:
+                del self.pending_proposals[node.address, applied.index]
+                self.acked[proposal[1]] = (applied.index, applied.outcome)
+            snapshot = core.due_snapshot()
+            if snapshot is None:
                 continue
-            if core.wal.save_snapshot(made) is not None:
+            if core.wal.save_snapshot(snapshot) is not None:
                 node.crash()
                 return
-            core.keep_snapshot(made)
+            core.keep_snapshot(snapshot)
 
     def _check_applied(self, node, applied):
-        """No two members ever apply different entries at one index."""
+        """Checks that all members apply the same entry at each index."""
         entry = node.core.replica.log.slice(applied.index, 1)[0]
-        known = self.applied.setdefault(
+        first_applied = self.applied.setdefault(
             applied.index, (entry.term, entry.command)
         )
-        assert known == (entry.term, entry.command), applied.index
+        assert first_applied == (entry.term, entry.command), applied.index
 
     def _send(self, node, outgoing):
-        for out in outgoing:
-            target = out.to.partition("/")[0]
-            self.wires.append((node.address, target, out.to, out.message))
-
-    def _hello(self):
+        for outgoing_message in outgoing:
+            target = outgoing_message.to.partition("/")[0]
+            self.in_transit.append(
+                (
+                    node.address,
+                    target,
+                    outgoing_message.to,
+                    outgoing_message.message,
+                )
+            )
+
+    def _send_hellos(self):
         for node in self.nodes.values():
             if not node.up or node.paused:
                 continue
             message = membership.hello(node.core.replica)
             greeted = membership.greeted(node.core.replica, self.now)
             for other in greeted & {*self.nodes}:
-                self.wires.append((node.address, other, "", message))
+                self.in_transit.append((node.address, other, "", message))
 
     def _deliver(self):
-        wires, self.wires = self.wires, []
-        for source, target, member, message in wires:
+        in_transit, self.in_transit = self.in_transit, []
+        for source, target, member, message in in_transit:
             node = self.nodes.get(target)
             if (source, target) in self.cut or node is None or not node.up:
                 continue
@@ -259,16 +266,16 @@
                 continue
             node.inbox.append(message)
             if self.rng.random() < self.duplicate:
-                self.wires.append((source, target, member, message))
+                self.in_transit.append((source, target, member, message))
 
     def leader(self):
-        """Returns the node that may decide alone, or None."""
-        leaders = [n for n in self.nodes.values() if n.leads_with_lease]
+        """Returns the node that holds the leader's lease, or None."""
+        leaders = [n for n in self.nodes.values() if n.holds_lease]
         assert len(leaders) <= 1, [n.address for n in leaders]
         return leaders[0] if leaders else None
 
     def settle(self, seconds=20.0):
-        """Heals everything and waits for a leader that has applied all."""
+        """Ends all faults and waits for a leader that applied all commits."""
         self.cut.clear()
         self.loss = self.duplicate = 0.0
         for node in self.nodes.values():
@@ -285,27 +292,29 @@
         return None
 
     def repair(self, seconds=30.0):
-        """Waits until the group is complete, each voter with its disk."""
+        """Waits until the group is complete and all its voters are present."""
         for _ in range(int(seconds / 0.5)):
             leader = self.settle()
             assert leader is not None, "no leader after healing"
             self.run(0.5)
             members = leader.core.replica.log.members
-            present = {n.core.replica.member for n in self.nodes.values()}
+            current_members = {
+                n.core.replica.member for n in self.nodes.values()
+            }
             complete = len(members.voters) == self.target_voters
-            if complete and present.issuperset(members.voters):
+            if complete and current_members.issuperset(members.voters):
                 return True
         return False
 
     def propose(self, command, tag, node=None):
-        """Proposes a command at a node that leads; returns whether it did."""
-        for each in [node] if node else list(self.nodes.values()):
-            if not each.up or each.paused or not each.core.is_leader:
+        """Proposes a command at a leader; returns whether one took it."""
+        for target in [node] if node else list(self.nodes.values()):
+            if not target.up or target.paused or not target.core.is_leader:
                 continue
             encoded = commands.encode(command)
-            index = each.core.propose(encoded, self.now, int(self.now * 1000))
+            index = target.core.propose(encoded, self.now, int(self.now * 1000))
             if index is not None:
-                term = each.core.replica.term
-                self.waiting[each.address, index] = (term, tag)
+                term = target.core.replica.term
+                self.pending_proposals[target.address, index] = (term, tag)
                 return True
         return False
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -1,4 +1,4 @@
-"""The replicated log under faults, and the faults its oracle must catch."""
+"""The replicated log under faults, and faults that its checks must detect."""
 
 import random
 
@@ -21,22 +21,22 @@
 
 
 class TestAgreementMachine(agreement_machine.AgreementMachine.TestCase):
-    """Runs the machine with the profile in force."""
+    """Runs the state machine with the active Hypothesis profile."""
 
 
-def register(name):
+def register_command(name):
     return commands.RegisterEntry(name, 1, "a", "l", "d", 1, "r")
 
 
 @pytest.fixture
 def cluster():
-    made = fakes.Cluster(seed=7)
-    made.run(4)
-    return made
+    new_cluster = fakes.Cluster(seed=7)
+    new_cluster.run(4)
+    return new_cluster
 
 
-class TestFounding:
-    def test_three_blank_members_found_one_group(self, cluster):
+class TestBootstrap:
+    def test_three_new_members_form_one_group(self, cluster):
         groups = {
             node.core.replica.log.members.group
             for node in cluster.nodes.values()
@@ -49,29 +49,31 @@
         first, second, third = cluster.nodes.values()
         cluster.run(0.4)
         third.crash()
-        accepted = cluster.propose(register("e"), "e")
+        accepted = cluster.propose(register_command("e"), "e")
         assert not accepted
 
-    def test_missing_peer_means_no_group(self):
+    def test_no_group_while_a_peer_is_missing(self):
         cluster = fakes.Cluster(seed=1)
         list(cluster.nodes.values())[2].crash()
         cluster.run(5)
         assert cluster.leader() is None
 
-    def test_member_without_its_disk_joins_the_old_group(self, cluster):
-        victim = next(iter(cluster.nodes.values()))
-        before = victim.core.replica.member
-        group = victim.core.replica.log.members.group
-        victim.lose_disk()
-        victim.start()
+    def test_member_that_lost_its_disk_rejoins_the_group(self, cluster):
+        rejoining = next(iter(cluster.nodes.values()))
+        old_member_id = rejoining.core.replica.member
+        group = rejoining.core.replica.log.members.group
+        rejoining.lose_disk()
+        rejoining.start()
         cluster.run(8)
-        assert victim.core.replica.member != before
-        assert victim.core.replica.log.members.group == group
-        assert victim.core.replica.is_voter
+        assert rejoining.core.replica.member != old_member_id
+        assert rejoining.core.replica.log.members.group == group
+        assert rejoining.core.replica.is_voter
 
 
-class TestSilentPartition:
-    def test_isolated_leader_stops_deciding_and_nothing_reverts(self, cluster):
+class TestPartition:
+    def test_isolated_leader_loses_its_lease_and_no_commit_is_lost(
+        self, cluster
+    ):
         old = cluster.leader()
         others = [n for n in cluster.nodes.values() if n is not old]
         for other in others:
@@ -79,11 +81,11 @@
                 (old.address, other.address),
                 (other.address, old.address),
             }
-        cluster.propose(register("lost"), "lost", node=old)
+        cluster.propose(register_command("lost"), "lost", node=old)
         cluster.run(3)
-        assert not old.leads_with_lease
+        assert not old.holds_lease
         assert "lost" not in cluster.acked
-        assert cluster.propose(register("kept"), "kept")
+        assert cluster.propose(register_command("kept"), "kept")
         cluster.run(600, step=0.1)
         cluster.cut.clear()
         cluster.run(3)
@@ -92,7 +94,7 @@
             assert "kept" in node.core.tables.entries
             assert "lost" not in node.core.tables.entries
 
-    def test_healed_member_does_not_raise_the_term(self, cluster):
+    def test_reconnected_member_does_not_raise_the_term(self, cluster):
         leader = cluster.leader()
         other = next(n for n in cluster.nodes.values() if n is not leader)
         for node in cluster.nodes.values():
@@ -106,33 +108,39 @@
         assert cluster.leader() is leader
 
 
-class TestMembersBesideTheSeeds:
-    """Five voters of which the configured addresses name three."""
+class TestMembersOutsideThePeers:
+    """Five voters, three of them at configured addresses."""
 
     @pytest.fixture
     def cluster(self):
-        made = fakes.Cluster(seed=5, spares=2, target_voters=5)
-        assert made.repair()
-        return made
+        new_cluster = fakes.Cluster(seed=5, spares=2, target_voters=5)
+        assert new_cluster.repair()
+        return new_cluster
 
-    def test_leader_at_no_seed_takes_a_member_without_its_disk_in(
+    def test_leader_outside_the_peers_admits_a_member_that_lost_its_disk(
         self, cluster
     ):
-        seeds = list(cluster.nodes)[:3]
-        while cluster.leader().address in seeds:
+        peers = list(cluster.nodes)[:3]
+        while cluster.leader().address in peers:
             old = cluster.leader()
             old.crash()
             cluster.run(3.0)
             old.start()
             cluster.run(3.0)
-        cluster.nodes[seeds[1]].lose_disk()
+        cluster.nodes[peers[1]].lose_disk()
         cluster.run(0.5)
-        cluster.nodes[seeds[1]].start()
+        cluster.nodes[peers[1]].start()
         assert cluster.repair()
 
-    def test_two_more_losses_at_once_are_survived_then(self, cluster):
-        """The chain of trouble-2 of the users' grown telemetry site."""
-        self.test_leader_at_no_seed_takes_a_member_without_its_disk_in(cluster)
+    def test_two_further_disk_losses_at_once_are_survived(self, cluster):
+        """Sequence of trouble-2 of the users' enlarged telemetry site.
+
+        After a member that lost its disk has rejoined, two more members lose
+        theirs while the others restart.
+        """
+        self.test_leader_outside_the_peers_admits_a_member_that_lost_its_disk(
+            cluster
+        )
         command = commands.RegisterEntry("e", 1, "a", "l", "d", 1, "r")
         assert cluster.propose(command, "last")
         while "last" not in cluster.acked:
@@ -148,27 +156,27 @@
 
 
 class TestReplacement:
-    def test_spare_takes_the_place_of_a_silent_voter(self):
+    def test_spare_replaces_an_unresponsive_voter(self):
         cluster = fakes.Cluster(seed=3, spares=1)
         cluster.run(4)
         leader = cluster.leader()
-        lost = next(
+        failed = next(
             n
             for n in cluster.nodes.values()
             if n is not leader and n.core.replica.is_voter
         )
-        lost.crash()
+        failed.crash()
         cluster.run(15)
         members = leader.core.replica.log.members
         assert len(members.voters) == 3
-        assert lost.address not in {
+        assert failed.address not in {
             members.addresses[voter] for voter in members.voters
         }
         second = next(
             n for n in cluster.nodes.values() if n is not leader and n.up
         )
         second.crash()
-        assert cluster.propose(register("after"), "after")
+        assert cluster.propose(register_command("after"), "after")
         cluster.run(3)
         assert "after" in cluster.acked
 
@@ -177,20 +185,20 @@
         cluster.run(4)
         leader = cluster.leader()
         members = leader.core.replica.log.members
-        victim = next(
+        replaced = next(
             v for v in members.voters if v != leader.core.replica.member
         )
-        leader.core.replica.replace_asked = victim
+        leader.core.replica.replace_asked = replaced
         cluster.run(5)
         members = leader.core.replica.log.members
-        assert victim not in members.voters
+        assert replaced not in members.voters
         assert len(members.voters) == 3
 
 
 class TestRecovery:
     def test_restart_after_hundreds_of_changes(self, cluster):
         for number in range(400):
-            cluster.propose(register(f"e{number}"), number)
+            cluster.propose(register_command(f"e{number}"), number)
             cluster.run(0.04)
         cluster.run(1)
         assert len(cluster.acked) == 400
@@ -201,52 +209,54 @@
         assert len(leader.core.tables.entries) == 400
         assert leader.core.replica.log.base_index > 300
 
-    def test_laggard_catches_up_by_snapshot_in_pieces(
+    def test_lagging_member_catches_up_by_snapshot_in_pieces(
         self, cluster, monkeypatch
     ):
         monkeypatch.setattr("_arbutuswalk.agreement.transfer.PIECE_BYTES", 200)
         leader = cluster.leader()
-        laggard = next(n for n in cluster.nodes.values() if n is not leader)
-        laggard.crash()
+        lagging = next(n for n in cluster.nodes.values() if n is not leader)
+        lagging.crash()
         for number in range(60):
-            cluster.propose(register(f"e{number}"), number)
+            cluster.propose(register_command(f"e{number}"), number)
             cluster.run(0.04)
-        laggard.start()
+        lagging.start()
         cluster.loss = 0.2
         cluster.run(6)
         cluster.loss = 0.0
         cluster.run(3)
-        assert len(laggard.core.tables.entries) == 60
+        assert len(lagging.core.tables.entries) == 60
 
 
-class TestPlantedFaults:
-    """Each fault below is one the oracle has to see."""
+class TestInjectedFaults:
+    """Faults that the state machine, or a check here, has to detect."""
 
-    def test_no_sync_before_an_acknowledgement(self, monkeypatch):
+    def test_acknowledgement_without_a_sync(self, monkeypatch):
         monkeypatch.setattr(fakes.FakeFolder, "sync", lambda self, name: None)
         with pytest.raises(AssertionError):
             twins.run(agreement_machine.AgreementMachine)
 
     def test_restart_that_forgets_the_leader_it_heard(self, monkeypatch):
-        made = replicas.Replica.__init__
+        original_init = replicas.Replica.__init__
 
-        def forgetful(self, **values):
-            made(self, **values)
-            self.heard_at = float("-inf")
-            self.election_at = values["now"]
+        def init_without_wait(self, **values):
+            original_init(self, **values)
+            self.leader_heard_at = float("-inf")
+            self.election_due_at = values["now"]
 
-        monkeypatch.setattr(replicas.Replica, "__init__", forgetful)
+        monkeypatch.setattr(replicas.Replica, "__init__", init_without_wait)
         with pytest.raises(AssertionError):
             twins.run(agreement_machine.AgreementMachine)
 
     def test_lease_from_the_time_of_receipt(self, monkeypatch):
-        taken = replication.on_append_reply
+        original_handler = replication.on_append_reply
 
-        def from_receipt(replica, reply, now):
+        def lease_from_receipt(replica, reply, now):
             reply.sent_at = now
-            taken(replica, reply, now)
+            original_handler(replica, reply, now)
 
-        monkeypatch.setitem(step._HANDLERS, ttypes.AppendReply, from_receipt)
+        monkeypatch.setitem(
+            step._HANDLERS, ttypes.AppendReply, lease_from_receipt
+        )
         with pytest.raises(AssertionError):
             twins.run(agreement_machine.AgreementMachine)
 
@@ -259,37 +269,41 @@
         with pytest.raises(AssertionError):
             twins.run(agreement_machine.AgreementMachine)
 
-    def test_promises_kept_over_a_change_of_term(self):
-        """An acknowledgement queued before a new term must not go out."""
+    def test_unsent_acknowledgements_are_dropped_with_a_new_term(self):
+        """An acknowledgement queued in an older term must not be sent."""
         replica = two_member_replica()
         replication.on_append_request(
-            replica, append(term=1, leader="b", entries=1), 1.0
+            replica, append_request(term=1, leader="b", entries=1), 1.0
         )
-        terms.follow(replica, 2, "", 1.1)
+        terms.become_follower(replica, 2, "", 1.1)
         ready = replicas.take_ready(replica)
         assert ready.late == []
 
-    def test_commit_of_an_earlier_term_by_count(self):
-        """Raft's figure 8: only entries of the own term count."""
+    def test_entries_of_an_earlier_term_are_not_committed_by_count(self):
+        """Raft's figure 8: only entries of the current term are counted."""
         replica = two_member_replica()
         replication.on_append_request(
-            replica, append(term=1, leader="b", entries=2), 1.0
+            replica, append_request(term=1, leader="b", entries=2), 1.0
         )
         replicas.take_ready(replica)
         replica.durable_index = 2
         replica.term = 3
         replica.role = types.Role.LEADER
         replication.start_term(replica, 2.0)
-        replication.on_append_reply(replica, reply(term=3, match=2), 2.1)
+        replication.on_append_reply(
+            replica, append_reply(term=3, match_index=2), 2.1
+        )
         assert replica.commit == 0
         replication.saved(replica, 3, 3)
-        replication.on_append_reply(replica, reply(term=3, match=3), 2.2)
+        replication.on_append_reply(
+            replica, append_reply(term=3, match_index=3), 2.2
+        )
         assert replica.commit == 3
 
-    def test_late_snapshot_offer_drops_nothing_acknowledged(self):
+    def test_late_snapshot_offer_drops_no_acknowledged_entry(self):
         replica = two_member_replica()
         replication.on_append_request(
-            replica, append(term=1, leader="b", entries=5), 1.0
+            replica, append_request(term=1, leader="b", entries=5), 1.0
         )
         offer = ttypes.SnapshotOffer(
             term=1,
@@ -309,20 +323,25 @@
     def test_no_vote_while_a_leader_is_heard(self):
         replica = two_member_replica()
         replication.on_append_request(
-            replica, append(term=1, leader="b", entries=1), 1.0
+            replica, append_request(term=1, leader="b", entries=1), 1.0
         )
         replicas.take_ready(replica)
-        election.on_vote_request(replica, vote(term=9), 1.2)
+        election.on_vote_request(replica, vote_request(term=9), 1.2)
         ready = replicas.take_ready(replica)
         assert not ready.late[0].message.granted
         assert replica.term == 1
 
-    def test_one_vote_a_term(self):
+    def test_one_vote_per_term(self):
         replica = two_member_replica()
-        election.on_vote_request(replica, vote(term=5, candidate="b"), 9.0)
-        election.on_vote_request(replica, vote(term=5, candidate="c"), 9.1)
+        election.on_vote_request(
+            replica, vote_request(term=5, candidate="b"), 9.0
+        )
+        election.on_vote_request(
+            replica, vote_request(term=5, candidate="c"), 9.1
+        )
         granted = [
-            out.message.granted for out in replicas.take_ready(replica).late
+            outgoing.message.granted
+            for outgoing in replicas.take_ready(replica).late
         ]
         assert granted == [True, False]
 
@@ -341,7 +360,7 @@
     )
 
 
-def append(*, term, leader, entries):
+def append_request(*, term, leader, entries):
     return ttypes.AppendRequest(
         term=term,
         leader=leader,
@@ -356,13 +375,17 @@
     )
 
 
-def reply(*, term, match):
+def append_reply(*, term, match_index):
     return ttypes.AppendReply(
-        term=term, follower="b", accepted=True, match_index=match, sent_at=1.0
+        term=term,
+        follower="b",
+        accepted=True,
+        match_index=match_index,
+        sent_at=1.0,
     )
 
 
-def vote(*, term, candidate="b"):
+def vote_request(*, term, candidate="b"):
     return ttypes.VoteRequest(
         term=term, candidate=candidate, last_index=0, last_term=0, trial=False
     )
