--- a/src/_arbutuswalk/agreement/membership.py
+++ b/src/_arbutuswalk/agreement/membership.py
@@ -145,7 +145,7 @@
         if voter == replica.member:
             continue
         current_member = by_address.get(members.addresses[voter], voter)
-        requested = voter == replica.replace_asked
+        requested = voter == replica.replacement_requested
         if (
             requested
             or current_member != voter
--- a/src/_arbutuswalk/agreement/replica.py
+++ b/src/_arbutuswalk/agreement/replica.py
@@ -112,7 +112,7 @@
         snapshots: Packed snapshots that can be served, by index.
         installed_snapshot: Received snapshot that is yet to be made durable.
         seen: Members that sent a ``Hello``, by id.
-        replace_asked: Voter that an operator wants replaced, or empty.
+        replacement_requested: Voter that an operator wants replaced, or empty.
     """
 
     def __init__(
@@ -157,7 +157,7 @@
         self.snapshots: dict[int, bytes] = {}
         self.installed_snapshot: wal.Snapshot | None = None
         self.seen: dict[str, Seen] = {}
-        self.replace_asked = ""
+        self.replacement_requested = ""
 
     @property
     def is_voter(self) -> bool:
--- a/src/_arbutuswalk/control/service.py
+++ b/src/_arbutuswalk/control/service.py
@@ -252,7 +252,7 @@
         members = replica.log.members
         for voter in members.voters:
             if members.addresses[voter] == argument:
-                replica.replace_asked = voter
+                replica.replacement_requested = voter
                 note = f"{voter} is replaced once another member is ready"
                 return {"ordered": True, "note": note}
         return {"ordered": False, "note": f"no voter at {argument}"}
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -188,7 +188,7 @@
         replaced = next(
             v for v in members.voters if v != leader.core.replica.member
         )
-        leader.core.replica.replace_asked = replaced
+        leader.core.replica.replacement_requested = replaced
         cluster.run(5)
         members = leader.core.replica.log.members
         assert replaced not in members.voters
