--- a/src/_arbutuswalk/agreement/membership.py
+++ b/src/_arbutuswalk/agreement/membership.py
@@ -33,7 +33,7 @@
     member_addresses = set(replica.log.members.addresses.values())
     recent = {
         seen.address
-        for seen in replica.seen.values()
+        for seen in replica.seen_members.values()
         if now - seen.at < HELLO_MAX_AGE_S
     }
     return (member_addresses | recent | {*replica.peers}) - {replica.address}
@@ -43,10 +43,10 @@
     replica: replicas.Replica, message: ttypes.Hello, now: float
 ) -> None:
     """Records which member listens at an address."""
-    for member, seen in list(replica.seen.items()):
+    for member, seen in list(replica.seen_members.items()):
         if seen.address == message.address and member != message.member:
-            del replica.seen[member]
-    replica.seen[message.member] = replicas.Seen(
+            del replica.seen_members[member]
+    replica.seen_members[message.member] = replicas.Seen(
         message.address, message.group, now
     )
 
@@ -82,7 +82,7 @@
     """
     group_by_address = {
         seen.address: seen.group
-        for seen in replica.seen.values()
+        for seen in replica.seen_members.values()
         if now - seen.at < HELLO_MAX_AGE_S
     }
     other_addresses = set(replica.peers) - {replica.address}
@@ -127,7 +127,7 @@
     joining = _joining_member(replica, now)
     if joining and (too_few_voters or replaceable) and not members.learners:
         addresses = dict(members.addresses)
-        addresses[joining] = replica.seen[joining].address
+        addresses[joining] = replica.seen_members[joining].address
         learners = (*members.learners, joining)
         return members._replace(learners=learners, addresses=addresses)
     return None
@@ -138,7 +138,7 @@
     members = replica.log.members
     by_address = {
         seen.address: member
-        for member, seen in replica.seen.items()
+        for member, seen in replica.seen_members.items()
         if now - seen.at < HELLO_MAX_AGE_S
     }
     for voter in members.voters:
@@ -178,7 +178,7 @@
 def _joining_member(replica: replicas.Replica, now: float) -> str:
     members = replica.log.members
     known_members = {*members.voters, *members.learners}
-    for member, seen in sorted(replica.seen.items()):
+    for member, seen in sorted(replica.seen_members.items()):
         is_recent = now - seen.at < HELLO_MAX_AGE_S
         if (
             is_recent
--- a/src/_arbutuswalk/agreement/replica.py
+++ b/src/_arbutuswalk/agreement/replica.py
@@ -111,7 +111,7 @@
         transfer: Snapshot being received.
         snapshots: Packed snapshots that can be served, by index.
         installed_snapshot: Received snapshot that is yet to be made durable.
-        seen: Members that sent a ``Hello``, by id.
+        seen_members: Members that sent a ``Hello``, by id.
         replacement_requested: Voter that an operator wants replaced, or empty.
     """
 
@@ -156,7 +156,7 @@
         self.transfer: Transfer | None = None
         self.snapshots: dict[int, bytes] = {}
         self.installed_snapshot: wal.Snapshot | None = None
-        self.seen: dict[str, Seen] = {}
+        self.seen_members: dict[str, Seen] = {}
         self.replacement_requested = ""
 
     @property
--- a/src/_arbutuswalk/control/member.py
+++ b/src/_arbutuswalk/control/member.py
@@ -275,7 +275,7 @@
                 self.link_to(address).post(out.message)
 
     def _address_of(self, member: str) -> str:
-        seen = self.replica.seen.get(member)
+        seen = self.replica.seen_members.get(member)
         if seen is not None:
             return seen.address
         return self.replica.log.members.addresses.get(member, "")
