--- a/src/_arbutuswalk/agreement/raftlog.py
+++ b/src/_arbutuswalk/agreement/raftlog.py
@@ -9,9 +9,9 @@
     """Entries after a snapshot, with the membership changes among them.
 
     Attributes:
-        base_index: Index of the last entry the snapshot covers.
-        base_term: Term of that entry.
-        entries: Entries from ``base_index + 1`` on.
+        snapshot_index: Index of the last entry the snapshot covers.
+        snapshot_term: Term of that entry.
+        entries: Entries from ``snapshot_index + 1`` on.
         first_unsaved: Index of the first entry not yet taken for saving.
         membership_history: (index, members) pairs, oldest first; never empty.
             A pair gives the members from that index on.
@@ -20,16 +20,16 @@
     def __init__(
         self,
         *,
-        base_index: int = 0,
-        base_term: int = 0,
-        base_members: types.Members | None = None,
+        snapshot_index: int = 0,
+        snapshot_term: int = 0,
+        snapshot_members: types.Members | None = None,
         entries: list[ttypes.Entry] | None = None,
     ):
-        self.base_index = base_index
-        self.base_term = base_term
+        self.snapshot_index = snapshot_index
+        self.snapshot_term = snapshot_term
         self.entries: list[ttypes.Entry] = []
         self.membership_history = [
-            (base_index, base_members or types.Members())
+            (snapshot_index, snapshot_members or types.Members())
         ]
         for entry in entries or []:
             self.append(entry)
@@ -38,12 +38,12 @@
     @property
     def last_index(self) -> int:
         """Index of the last entry, or the snapshot's if there is none."""
-        return self.base_index + len(self.entries)
+        return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
         """Term of the last entry, or the snapshot's if there is none."""
-        return self.entries[-1].term if self.entries else self.base_term
+        return self.entries[-1].term if self.entries else self.snapshot_term
 
     @property
     def members(self) -> types.Members:
@@ -52,9 +52,9 @@
 
     def term_at(self, index: int) -> int | None:
         """Returns the term at ``index``; None if the log lacks that entry."""
-        if index == self.base_index:
-            return self.base_term
-        offset = index - self.base_index - 1
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        offset = index - self.snapshot_index - 1
         if 0 <= offset < len(self.entries):
             return self.entries[offset].term
         return None
@@ -69,8 +69,10 @@
 
     def truncate(self, from_index: int) -> None:
         """Removes the entry at ``from_index`` and all after it."""
-        del self.entries[from_index - self.base_index - 1 :]
-        while self.membership_history[-1][0] >= from_index > self.base_index:
+        del self.entries[from_index - self.snapshot_index - 1 :]
+        while (
+            self.membership_history[-1][0] >= from_index > self.snapshot_index
+        ):
             if len(self.membership_history) == 1:
                 break
             self.membership_history.pop()
@@ -78,17 +80,17 @@
 
     def slice(self, first: int, limit: int) -> list[ttypes.Entry]:
         """Returns up to ``limit`` entries from index ``first`` on."""
-        offset = first - self.base_index - 1
+        offset = first - self.snapshot_index - 1
         return self.entries[offset : offset + limit]
 
     def compact(self, index: int) -> None:
         """Drops the entries up to ``index``, which a snapshot now covers."""
         term = self.term_at(index)
-        if term is None or index <= self.base_index:
+        if term is None or index <= self.snapshot_index:
             return
-        del self.entries[: index - self.base_index]
-        self.base_index = index
-        self.base_term = term
+        del self.entries[: index - self.snapshot_index]
+        self.snapshot_index = index
+        self.snapshot_term = term
         covered = [
             change for change in self.membership_history if change[0] <= index
         ]
@@ -99,8 +101,8 @@
 
     def reset(self, index: int, term: int, members: types.Members) -> None:
         """Replaces the whole log by the position of a snapshot."""
-        self.base_index = index
-        self.base_term = term
+        self.snapshot_index = index
+        self.snapshot_term = term
         self.entries = []
         self.membership_history = [(index, members)]
         self.first_unsaved = index + 1
--- a/src/_arbutuswalk/agreement/replica.py
+++ b/src/_arbutuswalk/agreement/replica.py
@@ -147,7 +147,7 @@
         self.granted_by: set[str] = set()
         self.log = log or raftlog.RaftLog()
         self.durable_index = self.log.last_index
-        self.commit = max(self.log.base_index, commit)
+        self.commit = max(self.log.snapshot_index, commit)
         self.last_taken_commit = self.commit
         self.progress: dict[str, Progress] = {}
         self.term_start_index = 0
--- a/src/_arbutuswalk/agreement/replication.py
+++ b/src/_arbutuswalk/agreement/replication.py
@@ -65,13 +65,13 @@
     log = replica.log
     entries = list(request.entries)
     prev_index, prev_term = request.prev_index, request.prev_term
-    if prev_index < log.base_index:
-        skipped = log.base_index - prev_index
+    if prev_index < log.snapshot_index:
+        skipped = log.snapshot_index - prev_index
         entries = entries[skipped:]
-        prev_index, prev_term = log.base_index, log.base_term
+        prev_index, prev_term = log.snapshot_index, log.snapshot_term
         if skipped > len(request.entries):
             _send_append_reply(
-                replica, request, accepted=True, match_index=log.base_index
+                replica, request, accepted=True, match_index=log.snapshot_index
             )
             return
     if log.term_at(prev_index) != prev_term:
@@ -108,7 +108,7 @@
         progress.next_index = max(progress.next_index, reply.match_index + 1)
         _advance_commit(replica)
     log = replica.log
-    if log.base_index < progress.next_index <= log.last_index:
+    if log.snapshot_index < progress.next_index <= log.last_index:
         _send_entries(replica, reply.follower, now)
 
 
@@ -160,7 +160,7 @@
 def _send_entries(replica: replicas.Replica, member: str, now: float) -> None:
     progress = replica.progress[member]
     log = replica.log
-    if progress.next_index <= log.base_index:
+    if progress.next_index <= log.snapshot_index:
         transfer.send_offer(replica, member)
         _send_append_request(replica, member, log.last_index, [], now)
         return
@@ -168,7 +168,7 @@
     if progress.in_flight and now - progress.entries_sent_at > resend_after_s:
         progress.next_index = progress.match_index + 1
         progress.in_flight = 0
-        if progress.next_index <= log.base_index:
+        if progress.next_index <= log.snapshot_index:
             transfer.send_offer(replica, member)
             return
     entries = log.slice(progress.next_index, MAX_ENTRIES_PER_REQUEST)
--- a/src/_arbutuswalk/agreement/transfer.py
+++ b/src/_arbutuswalk/agreement/transfer.py
@@ -19,7 +19,7 @@
 
 def send_offer(replica: replicas.Replica, member: str) -> None:
     """Offers a snapshot to a member whose next entry is compacted away."""
-    index = replica.log.base_index
+    index = replica.log.snapshot_index
     data = replica.snapshots.get(index)
     if data is None:
         return
@@ -32,7 +32,7 @@
         term=replica.term,
         leader=replica.member,
         last_index=index,
-        last_term=replica.log.base_term,
+        last_term=replica.log.snapshot_term,
         total=len(data),
         checksum=zlib.crc32(data),
         sources=[*sorted(sources), replica.member],
--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -117,7 +117,7 @@
             commit=found.commit,
         )
         if found.snapshot is not None:
-            self.replica.snapshots[log.base_index] = found.snapshot.state
+            self.replica.snapshots[log.snapshot_index] = found.snapshot.state
         return None
 
     def _rebuild(self, found: wal.Recovered) -> raftlog.RaftLog:
@@ -129,9 +129,9 @@
             self.tables = machine.load(state)
             self.applied = index
         return raftlog.RaftLog(
-            base_index=index,
-            base_term=term,
-            base_members=members,
+            snapshot_index=index,
+            snapshot_term=term,
+            snapshot_members=members,
             entries=[
                 ttypes.Entry(term=entry.term, command=entry.command)
                 for entry in found.entries
@@ -219,7 +219,10 @@
     def due_snapshot(self) -> wal.Snapshot | None:
         """Returns a snapshot to save, at the indices all members share."""
         index = self.applied
-        if index % self.snapshot_every or index <= self.replica.log.base_index:
+        if (
+            index % self.snapshot_every
+            or index <= self.replica.log.snapshot_index
+        ):
             return None
         members = transfer.members_at(self.replica, index)
         packed = snapshot.pack(members, machine.dump(self.tables))
--- a/src/_arbutuswalk/control/service.py
+++ b/src/_arbutuswalk/control/service.py
@@ -271,7 +271,7 @@
                 "leader": replica.leader,
                 "commit": replica.commit,
                 "applied": member.core.applied,
-                "first": replica.log.base_index + 1,
+                "first": replica.log.snapshot_index + 1,
                 "last": replica.log.last_index,
                 "durable": replica.durable_index,
                 "members": replica.log.members._asdict(),
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -207,7 +207,7 @@
             node.start()
         leader = cluster.settle()
         assert len(leader.core.tables.entries) == 400
-        assert leader.core.replica.log.base_index > 300
+        assert leader.core.replica.log.snapshot_index > 300
 
     def test_lagging_member_catches_up_by_snapshot_in_pieces(
         self, cluster, monkeypatch
@@ -356,7 +356,7 @@
         timing=fakes.TIMING,
         rng=random.Random(1),
         now=0.0,
-        log=raftlog.RaftLog(base_members=members),
+        log=raftlog.RaftLog(snapshot_members=members),
     )
 
 
