--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -140,7 +140,7 @@
 
     def _member_id(self) -> str | errors.StorageError:
         """Returns the folder's member id, drawn when it is first used."""
-        if wal.IDENTITY_NAME in self.data.names():
+        if wal.IDENTITY_NAME in self.data.file_names():
             return self.data.read(wal.IDENTITY_NAME).decode()
         drawn = uuid.UUID(int=self.rng.getrandbits(128)).hex[:8]
         member = f"{self.identity.address}/{drawn}"
--- a/src/_arbutuswalk/storage/folder.py
+++ b/src/_arbutuswalk/storage/folder.py
@@ -39,7 +39,7 @@
             os.close(self.lock_fd)
             self.lock_fd = None
             return errors.Locked(path=str(self.path))
-        for name in self.names():
+        for name in self.file_names():
             if name.endswith(TEMPORARY_SUFFIX):
                 os.unlink(self.path / name)
         return None
@@ -53,7 +53,7 @@
             os.close(self.lock_fd)
             self.lock_fd = None
 
-    def names(self) -> list[str]:
+    def file_names(self) -> list[str]:
         """Returns the sorted names of the files in the folder."""
         return sorted(file_path.name for file_path in self.path.iterdir())
 
--- a/src/_arbutuswalk/storage/wal.py
+++ b/src/_arbutuswalk/storage/wal.py
@@ -185,12 +185,16 @@
 
     def _segment_names(self) -> list[str]:
         return [
-            name for name in self.folder.names() if name.startswith("segment-")
+            name
+            for name in self.folder.file_names()
+            if name.startswith("segment-")
         ]
 
     def _snapshot_names(self) -> list[str]:
         return [
-            name for name in self.folder.names() if name.startswith("snapshot-")
+            name
+            for name in self.folder.file_names()
+            if name.startswith("snapshot-")
         ]
 
     def _newest_readable_snapshot(
--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -36,7 +36,7 @@
     def close(self):
         return None
 
-    def names(self):
+    def file_names(self):
         return sorted(self.files)
 
     def read(self, name):
--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -38,7 +38,7 @@
 
 
 def segment_names(data):
-    return [name for name in data.names() if name.startswith("segment-")]
+    return [name for name in data.file_names() if name.startswith("segment-")]
 
 
 class TestWriting:
@@ -86,9 +86,9 @@
         log.save_snapshot(wal.Snapshot(10, 1, b"ten"))
         log.write(None, entries(11, 20))
         log.save_snapshot(wal.Snapshot(20, 1, b"twenty"))
-        newest = [n for n in data_folder.names() if n.startswith("snapshot-")][
-            -1
-        ]
+        newest = [
+            n for n in data_folder.file_names() if n.startswith("snapshot-")
+        ][-1]
         flip_bit(data_folder, newest, 30)
         recovered = recover_again(data_folder)
         assert recovered.snapshot.state == b"ten"
@@ -98,9 +98,9 @@
         log = open_log(data_folder)
         log.write(None, entries(1, 10))
         log.save_snapshot(wal.Snapshot(10, 1, b"ten"))
-        newest = [n for n in data_folder.names() if n.startswith("snapshot-")][
-            -1
-        ]
+        newest = [
+            n for n in data_folder.file_names() if n.startswith("snapshot-")
+        ][-1]
         flip_bit(data_folder, newest, 30)
         assert isinstance(recover_again(data_folder), errors.Corrupt)
 
@@ -174,7 +174,7 @@
         data.close()
         reopened = folder.Folder(path=str(tmp_path))
         assert reopened.open() is None
-        assert not any("aside" in name for name in reopened.names())
+        assert not any("aside" in name for name in reopened.file_names())
         reopened.close()
 
 
