--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -140,11 +140,11 @@
 
     def _member_id(self) -> str | errors.StorageError:
         """Returns the folder's member id, drawn when it is first used."""
-        if wal.IDENTITY_NAME in self.data.file_names():
-            return self.data.read(wal.IDENTITY_NAME).decode()
+        if wal.MEMBER_ID_FILE in self.data.file_names():
+            return self.data.read(wal.MEMBER_ID_FILE).decode()
         drawn = uuid.UUID(int=self.rng.getrandbits(128)).hex[:8]
         member = f"{self.identity.address}/{drawn}"
-        failure = self.data.replace(wal.IDENTITY_NAME, member.encode())
+        failure = self.data.replace(wal.MEMBER_ID_FILE, member.encode())
         return failure or member
 
     @property
