--- a/bench/control.py
+++ b/bench/control.py
@@ -127,7 +127,7 @@
                 wal.LogEntry(
                     i + 1,
                     1,
-                    types.COMMAND + machine.stamp(begin_call(i), 1000 + i),
+                    types.COMMAND_KIND + machine.stamp(begin_call(i), 1000 + i),
                 )
                 for i in range(entries)
             ]
--- a/src/_arbutuswalk/agreement/raftlog.py
+++ b/src/_arbutuswalk/agreement/raftlog.py
@@ -62,7 +62,7 @@
     def append(self, entry: ttypes.Entry) -> int:
         """Appends an entry and returns its index."""
         self.entries.append(entry)
-        if entry.command[:1] == types.MEMBERS:
+        if entry.command[:1] == types.MEMBERS_KIND:
             members = types.unpack_members(entry.command)
             self.membership_history.append((self.last_index, members))
         return self.last_index
--- a/src/_arbutuswalk/agreement/replication.py
+++ b/src/_arbutuswalk/agreement/replication.py
@@ -12,7 +12,7 @@
 
 def start_term(replica: replicas.Replica, now: float) -> None:
     """Starts a leader's term by appending an entry of that term."""
-    entry = ttypes.Entry(term=replica.term, command=types.NOTHING)
+    entry = ttypes.Entry(term=replica.term, command=types.NOOP_KIND)
     replica.term_start_index = replica.log.append(entry)
     members = replica.log.members
     for member in (*members.voters, *members.learners):
--- a/src/_arbutuswalk/agreement/types.py
+++ b/src/_arbutuswalk/agreement/types.py
@@ -6,9 +6,9 @@
 
 from _arbutuswalk.storage import wal
 
-NOTHING = b"N"
-MEMBERS = b"M"
-COMMAND = b"A"
+NOOP_KIND = b"N"
+MEMBERS_KIND = b"M"
+COMMAND_KIND = b"A"
 
 
 class Role(enum.Enum):
@@ -85,7 +85,7 @@
 
 def pack_members(members: Members) -> bytes:
     """Returns the log command that sets ``members``."""
-    return MEMBERS + json.dumps(members._asdict(), sort_keys=True).encode()
+    return MEMBERS_KIND + json.dumps(members._asdict(), sort_keys=True).encode()
 
 
 def unpack_members(command: bytes) -> Members:
--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -168,7 +168,7 @@
         may = membership.accepts_commands(self.replica)
         if not self.is_leader or not may:
             return None
-        payload = types.COMMAND + machine.stamp_encoded(command, at_ms)
+        payload = types.COMMAND_KIND + machine.stamp_encoded(command, at_ms)
         return replication.propose(self.replica, payload, now)
 
     def take(self) -> types.Ready:
@@ -207,9 +207,9 @@
         entry = self.replica.log.slice(self.applied, 1)[0]
         kind, payload = entry.command[:1], entry.command[1:]
         outcome = None
-        if kind == types.COMMAND:
+        if kind == types.COMMAND_KIND:
             outcome = machine.apply(self.tables, payload, self.applied)
-        elif kind == types.MEMBERS:
+        elif kind == types.MEMBERS_KIND:
             members = types.unpack_members(entry.command)
             events.log(
                 events.Event.MEMBERS_CHANGED, members.voters, members.learners
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -367,7 +367,7 @@
         prev_index=0,
         prev_term=0,
         entries=[
-            ttypes.Entry(term=term, command=types.NOTHING)
+            ttypes.Entry(term=term, command=types.NOOP_KIND)
             for _ in range(entries)
         ],
         commit=0,
