--- a/src/_arbutuswalk/agreement/transfer.py
+++ b/src/_arbutuswalk/agreement/transfer.py
@@ -143,7 +143,7 @@
     return index <= replica.commit or replica.log.term_at(index) == term
 
 
-def keep(replica: replicas.Replica, index: int, data: bytes) -> None:
+def retain_snapshot(replica: replicas.Replica, index: int, data: bytes) -> None:
     """Makes a saved snapshot available to others and compacts the log."""
     retained = sorted({*replica.snapshots, index})[-wal.SNAPSHOTS_KEPT :]
     replica.snapshots[index] = data
--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -230,4 +230,4 @@
 
     def keep_snapshot(self, made: wal.Snapshot) -> None:
         """Serves a snapshot that was saved and forgets what it covers."""
-        transfer.keep(self.replica, made.index, made.state)
+        transfer.retain_snapshot(self.replica, made.index, made.state)
