--- a/src/_arbutuswalk/wire/link.py
+++ b/src/_arbutuswalk/wire/link.py
@@ -34,11 +34,11 @@
 
     Attributes:
         reason: Why the link failed.
-        sent: Whether any byte of the call may have been sent.
+        possibly_sent: Whether any byte of the call may have been sent.
     """
 
     reason: str
-    sent: bool
+    possibly_sent: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -123,7 +123,7 @@
                 # and an address given by another process may be invalid.
                 self.failed_attempts += 1
                 reason = str(error) or "connect timed out"
-                return LinkDown(reason=reason, sent=False)
+                return LinkDown(reason=reason, possibly_sent=False)
             self.failed_attempts = 0
             self.writer = writer
             self.last_received_at = self.now()
@@ -142,7 +142,7 @@
             writer.transport.abort()
         for future in self.pending_calls.values():
             if not future.done():
-                future.set_result(LinkDown(reason=reason, sent=True))
+                future.set_result(LinkDown(reason=reason, possibly_sent=True))
         self.pending_calls.clear()
 
     async def stop(self) -> None:
--- a/testing/test_wire.py
+++ b/testing/test_wire.py
@@ -100,7 +100,7 @@
         client = link.Link(address=free_address())
         reply = await client.call(submit(b"x"), timeout_s=1)
         assert isinstance(reply, link.LinkDown)
-        assert not reply.sent
+        assert not reply.possibly_sent
         await client.stop()
 
     def test_lost_first_packet_costs_the_first_connect_timeout(
@@ -152,7 +152,7 @@
         await server.stop()
         reply = await asyncio.wait_for(waiting, 5)
         assert isinstance(reply, link.LinkDown)
-        assert reply.sent
+        assert reply.possibly_sent
 
     async def test_invalid_frame_closes_only_its_connection(
         self, client, server
--- a/testing/worlds.py
+++ b/testing/worlds.py
@@ -156,7 +156,7 @@
     """A link to another entry that never opens."""
 
     async def call(self, message, *, timeout_s):
-        return link.LinkDown(reason="deaf", sent=False)
+        return link.LinkDown(reason="deaf", possibly_sent=False)
 
     def post(self, message):
         return False
