--- a/src/_arbutuswalk/control/hub.py
+++ b/src/_arbutuswalk/control/hub.py
@@ -283,7 +283,7 @@
         message = ttypes.UpstreamNews(announcements=[payload])
         for address in self.member_addresses():
             if address != self.member.address:
-                self.member.link_to(address).post(message)
+                self.member.link_to(address).send_oneway(message)
 
 
 def _newest(
--- a/src/_arbutuswalk/control/member.py
+++ b/src/_arbutuswalk/control/member.py
@@ -272,7 +272,7 @@
         for out in outgoing:
             address = self._address_of(out.to)
             if address:
-                self.link_to(address).post(out.message)
+                self.link_to(address).send_oneway(out.message)
 
     def _address_of(self, member: str) -> str:
         seen = self.replica.seen_members.get(member)
@@ -292,7 +292,7 @@
         message = membership.hello(self.replica)
         greeted = membership.greeted(self.replica, self.now())
         for address in (greeted | {*self.seeds}) - {self.address}:
-            self.link_to(address).post(message)
+            self.link_to(address).send_oneway(message)
 
     async def stop(self) -> None:
         """Closes links and files."""
--- a/src/_arbutuswalk/entry/copies.py
+++ b/src/_arbutuswalk/entry/copies.py
@@ -109,7 +109,7 @@
         finished=finished,
         failed=request.answer.problem is not None,
     )
-    if target.post(message):
+    if target.send_oneway(message):
         request.copied += len(fresh)
 
 
--- a/src/_arbutuswalk/entry/news.py
+++ b/src/_arbutuswalk/entry/news.py
@@ -15,4 +15,4 @@
     """Passes news on to every other entry."""
     message = ttypes.UpstreamNews(announcements=[json.dumps(news).encode()])
     for row in entry.peers.values():
-        entry.link_to(row["link_address"]).post(message)
+        entry.link_to(row["link_address"]).send_oneway(message)
--- a/src/_arbutuswalk/wire/link.py
+++ b/src/_arbutuswalk/wire/link.py
@@ -88,7 +88,7 @@
         finally:
             self.pending_calls.pop(call_number, None)
 
-    def post(self, message: object) -> bool:
+    def send_oneway(self, message: object) -> bool:
         """Sends a one-way message if the link is open, else starts opening it.
 
         Returns:
--- a/testing/worlds.py
+++ b/testing/worlds.py
@@ -158,7 +158,7 @@
     async def call(self, message, *, timeout_s):
         return link.LinkDown(reason="deaf", possibly_sent=False)
 
-    def post(self, message):
+    def send_oneway(self, message):
         return False
 
 
