--- a/src/_arbutuswalk/control/hub.py
+++ b/src/_arbutuswalk/control/hub.py
@@ -19,7 +19,7 @@
 from _arbutuswalk.control import member as members
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import directory as directories
-from _arbutuswalk.wire import packed
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 WATCH_WAIT_S = 0.4
@@ -163,7 +163,7 @@
         return ttypes.WatchReply(
             session=self.session,
             version=self.directory.revision,
-            news=packed.pack(self._news(revision)),
+            news=compressed_json.encode(self._news(revision)),
         )
 
     def wake(self) -> None:
@@ -230,7 +230,7 @@
         self.entries[message.entry, message.incarnation] = EntryState(
             message.incarnation,
             revision,
-            packed.unpack(message.report),
+            compressed_json.decode(message.report),
             self.now(),
         )
 
@@ -247,7 +247,7 @@
         tables = self.member.tables
         if self.packed_version != tables.routes_version:
             self.packed_version = tables.routes_version
-            self.packed_routes = packed.pack(tables.routes)
+            self.packed_routes = compressed_json.encode(tables.routes)
         end = message.offset + ROUTES_PART_BYTES
         return ttypes.RoutesPart(
             version=self.packed_version,
--- a/src/_arbutuswalk/relay/fetching.py
+++ b/src/_arbutuswalk/relay/fetching.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from _arbutuswalk.base import events
-from _arbutuswalk.wire import packed
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 PART_TIMEOUT_S = 0.5
@@ -102,7 +102,7 @@
 ) -> None:
     data, progress.data = progress.data, b""
     try:
-        values = packed.unpack(data)
+        values = compressed_json.decode(data)
     except ValueError as error:
         failed.add(address)
         events.record(events.Event.ROUTES_UNREADABLE, address, str(error))
--- a/src/_arbutuswalk/relay/watching.py
+++ b/src/_arbutuswalk/relay/watching.py
@@ -16,8 +16,8 @@
 from _arbutuswalk.routing import directory
 from _arbutuswalk.routing import routetable
 from _arbutuswalk.state import routeconfig
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire import link
-from _arbutuswalk.wire import packed
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 WATCH_TIMEOUT_S = 1.2
@@ -163,7 +163,7 @@
             session=feed.session,
             version=feed.revision,
             routes_version=max(feed.routes_version, self.relay.routes_version),
-            report=packed.pack(report),
+            report=compressed_json.encode(report),
         )
 
     def _report(self) -> dict[str, Any]:
@@ -193,7 +193,7 @@
 
     def _take(self, feed: Feed, reply: ttypes.WatchReply) -> None:
         now = self.relay.now()
-        news = packed.unpack(reply.news)
+        news = compressed_json.decode(reply.news)
         if not feed.answered:
             feed.answered = True
             events.record(
--- a/src/_arbutuswalk/wire/packed.py
+++ b/src/_arbutuswalk/wire/compressed_json.py
@@ -15,12 +15,12 @@
 """Largest decompressed message: a quarter of a process's memory."""
 
 
-def pack(value: Any) -> bytes:
+def encode(value: Any) -> bytes:
     """Returns ``value`` as compressed JSON."""
     return zlib.compress(json.dumps(value).encode(), COMPRESSION_LEVEL)
 
 
-def unpack(data: bytes) -> Any:
+def decode(data: bytes) -> Any:
     """Returns the value that ``data`` encodes.
 
     Raises:
--- a/testing/test_duties.py
+++ b/testing/test_duties.py
@@ -16,7 +16,7 @@
 from _arbutuswalk.control import usage_reports
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import tables as rows
-from _arbutuswalk.wire import packed
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 OPTIONS = duties.Options(
@@ -66,7 +66,9 @@
         session=hub.session,
         version=version,
         routes_version=0,
-        report=packed.pack({"ready": True, "address": entry, **report}),
+        report=compressed_json.encode(
+            {"ready": True, "address": entry, **report}
+        ),
     )
 
 
@@ -144,7 +146,7 @@
         hub = make_parts().hub
         hub.take(test_crashes.make_endpoint("a"))
         reply = await hub.watch(watch(hub))
-        news = packed.unpack(reply.news)
+        news = compressed_json.decode(reply.news)
         assert [each[0] for each in news["endpoints"]] == ["a"]
         assert reply.version == hub.directory.revision
 
@@ -157,7 +159,7 @@
         await asyncio.sleep(0)
         hub.take(test_crashes.make_endpoint("a"))
         reply = await asyncio.wait_for(waiting, 10)
-        assert packed.unpack(reply.news)["endpoints"]
+        assert compressed_json.decode(reply.news)["endpoints"]
 
     def test_a_configuration_is_told_of_and_sent_in_parts(self, monkeypatch):
         monkeypatch.setattr(hubs, "ROUTES_PART_BYTES", 7)
@@ -172,7 +174,7 @@
             data += part.data
             if len(data) >= part.size:
                 break
-        assert packed.unpack(data) == tables.routes
+        assert compressed_json.decode(data) == tables.routes
 
     async def test_a_watch_waits_once_it_was_told_of_a_version(self):
         """Fetching takes a while; telling again would answer at once."""
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -3,8 +3,8 @@
 import pytest
 
 from _arbutuswalk.relay import fetching
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire import link
-from _arbutuswalk.wire import packed
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 PART_BYTES = 10
@@ -20,7 +20,7 @@
         self.answered = True
         self.routes_version = version
         self.held_version = version
-        self.data = packed.pack(values or TAKEN)
+        self.data = compressed_json.encode(values or TAKEN)
         self.fails = set(fails)
         self.asked = []
 
@@ -79,7 +79,7 @@
         async def call(message, *, timeout_s):
             if message.offset == 2 * PART_BYTES:
                 member.held_version = 9
-                member.data = packed.pack(newer)
+                member.data = compressed_json.encode(newer)
             return await real(message, timeout_s=timeout_s)
 
         member.call = call
@@ -113,21 +113,21 @@
 
 class TestPacked:
     def test_a_value_comes_back(self):
-        assert packed.unpack(packed.pack(TAKEN)) == TAKEN
+        assert compressed_json.decode(compressed_json.encode(TAKEN)) == TAKEN
 
     @pytest.mark.parametrize(
         "data",
         [
             pytest.param(b"", id="empty"),
             pytest.param(b"{}", id="not-packed"),
-            pytest.param(packed.pack(TAKEN)[:-1], id="cut"),
+            pytest.param(compressed_json.encode(TAKEN)[:-1], id="cut"),
         ],
     )
     def test_other_bytes_are_refused(self, data):
         with pytest.raises(ValueError, match=r".+"):
-            packed.unpack(data)
+            compressed_json.decode(data)
 
     def test_more_than_memory_allows_is_refused(self, monkeypatch):
-        monkeypatch.setattr(packed, "MAX_BYTES", 100)
+        monkeypatch.setattr(compressed_json, "MAX_BYTES", 100)
         with pytest.raises(ValueError, match="over 100 bytes"):
-            packed.unpack(packed.pack("x" * 1000))
+            compressed_json.decode(compressed_json.encode("x" * 1000))
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -9,7 +9,7 @@
 from _arbutuswalk.relay import core
 from _arbutuswalk.relay import watching
 from _arbutuswalk.routing import directory
-from _arbutuswalk.wire import packed
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 
@@ -45,7 +45,7 @@
         "refused": [],
         "routes_version": 0,
     }
-    payload = packed.pack({**values, **changes})
+    payload = compressed_json.encode({**values, **changes})
     return ttypes.WatchReply(session="s", version=1, news=payload)
 
 
