--- a/testing/test_models.py
+++ b/testing/test_models.py
@@ -5,75 +5,81 @@
 ledger. Faulty variants of membership start from a state close to a violation.
 """
 
-import models
+import protocol_models
 import pytest
 
 MAX_STATES = 400_000
 
 
 def check_model(protocol):
-    invariants_hold, report, trace = models.holds(protocol, MAX_STATES)
+    invariants_hold, report, trace = protocol_models.holds(protocol, MAX_STATES)
     assert report["exhaustive"], report
     return invariants_hold, trace
 
 
 class TestAgreementModel:
     def test_election_and_commit(self):
-        invariants_hold, trace = check_model(models.agreement(models.Bounds()))
+        invariants_hold, trace = check_model(
+            protocol_models.agreement(protocol_models.Bounds())
+        )
         assert invariants_hold, trace
 
     def test_membership(self):
-        bounds = models.Bounds(nodes=4, terms=2, members=True, crashes=False)
-        invariants_hold, trace = check_model(models.agreement(bounds))
+        bounds = protocol_models.Bounds(
+            nodes=4, terms=2, members=True, crashes=False
+        )
+        invariants_hold, trace = check_model(protocol_models.agreement(bounds))
         assert invariants_hold, trace
 
     @pytest.mark.parametrize("fault", ["forgets_votes", "ignores_log_on_votes"])
     def test_faulty_election_is_detected(self, fault):
-        faults = models.Faults(**{fault: True})
+        faults = protocol_models.Faults(**{fault: True})
         invariants_hold, _ = check_model(
-            models.agreement(models.Bounds(terms=2), faults)
+            protocol_models.agreement(protocol_models.Bounds(terms=2), faults)
         )
         assert not invariants_hold
 
     def test_commit_of_old_terms_is_detected(self):
-        start = models.blank(3)._replace(
+        start = protocol_models.blank(3)._replace(
             term=(1, 1, 1), voted=(0, 0, -1), log=((1,), (), ())
         )
-        faults = models.Faults(commits_old_terms=True)
+        faults = protocol_models.Faults(commits_old_terms=True)
         invariants_hold, _ = check_model(
-            models.agreement(models.Bounds(terms=4), faults, start)
+            protocol_models.agreement(
+                protocol_models.Bounds(terms=4), faults, start
+            )
         )
         assert not invariants_hold
 
     def test_two_changes_at_once_are_detected(self):
         one_entry_log = ((1, None),)
-        start = models.blank(4)._replace(
+        start = protocol_models.blank(4)._replace(
             term=(1, 1, 1, 1),
             voted=(0, 0, 0, -1),
-            role=(models.LEADER, "F", "F", "F"),
+            role=(protocol_models.LEADER, "F", "F", "F"),
             log=(one_entry_log, one_entry_log, one_entry_log, ()),
             known=(1, 0, 0, 0),
             committed=one_entry_log,
         )
-        bounds = models.Bounds(
+        bounds = protocol_models.Bounds(
             nodes=4, terms=2, entries=3, members=True, crashes=False
         )
-        faults = models.Faults(changes_two_at_once=True)
+        faults = protocol_models.Faults(changes_two_at_once=True)
         invariants_hold, _ = check_model(
-            models.agreement(bounds, faults, start)
+            protocol_models.agreement(bounds, faults, start)
         )
         assert not invariants_hold
 
 
 class TestLedgerModel:
     def test_calls_run_at_most_once(self):
-        invariants_hold, trace = check_model(models.ledger_model())
+        invariants_hold, trace = check_model(protocol_models.ledger_model())
         assert invariants_hold, trace
 
     @pytest.mark.parametrize(
         "fault", ["withdraws_lost", "regrants_unknown", "sends_ungranted"]
     )
     def test_faulty_ledger_is_detected(self, fault):
-        faults = models.LedgerFaults(**{fault: True})
-        invariants_hold, _ = check_model(models.ledger_model(faults))
+        faults = protocol_models.LedgerFaults(**{fault: True})
+        invariants_hold, _ = check_model(protocol_models.ledger_model(faults))
         assert not invariants_hold
