--- a/src/_arbutuswalk/wire/__init__.py
+++ b/src/_arbutuswalk/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Thrift codec and framed asyncio links between our processes."""
+"""Thrift codec and framed asyncio links between the processes of the system."""
