--- a/src/_arbutuswalk/control/__init__.py
+++ b/src/_arbutuswalk/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control process: the replicated log and its leader."""
+"""The control process: a member of the replicated control group."""
--- a/src/_arbutuswalk/control/duties.py
+++ b/src/_arbutuswalk/control/duties.py
@@ -1,8 +1,8 @@
-"""Duties that one holder at a time fulfils towards the platform.
+"""Calls to the platform that only one control process may make at a time.
 
-The leader holds them; its term is the fence. The platform may not check
-fences, so a new leader first waits out the time for which the platform
-remembers its predecessor, and nobody acts outside the leader's lease.
+The leader makes them and sends its term as the fencing token. The platform
+may not check fencing tokens, so a new leader waits until the platform's lease
+for its predecessor has expired, and no process acts outside its leader lease.
 """
 
 import asyncio
@@ -17,17 +17,17 @@
 from _arbutuswalk.control import usage_reports
 from _arbutuswalk.state import fleetplan
 
-TICK_S = 0.25
-MARGIN_S = 0.3
-"""Waited beside the platform's lease, for calls that were on their way."""
+TICK_INTERVAL_S = 0.25
+IN_FLIGHT_MARGIN_S = 0.3
+"""Added to the platform's lease, for the predecessor's calls in flight."""
 DONE = "done"
 """Outcome of a call that the platform accepted."""
 NONE_LEFT = "none left"
-"""Outcome of an order that the platform cannot meet at the moment."""
+"""Outcome of an order for which the platform has no capacity at present."""
 
 
 class UsageReport(NamedTuple):
-    """Counts of one window by workspace."""
+    """Usage counts of one window, by workspace."""
 
     window: int
     counts: dict[str, int]
@@ -35,7 +35,7 @@
 
 
 class Order(NamedTuple):
-    """An order for a number of endpoints in one failure domain."""
+    """The number of endpoints wanted in one failure domain."""
 
     upstream: str
     domain: str
@@ -45,21 +45,21 @@
 
 
 class Calls(NamedTuple):
-    """The platform's calls; each returns its outcome as a text."""
+    """Functions that call the platform; each returns its outcome as text."""
 
     report_usage: Callable[[UsageReport], Awaitable[str]]
     order_endpoints: Callable[[Order], Awaitable[str]]
 
 
 class Options(NamedTuple):
-    """Which duties there are, and their times in seconds.
+    """Which duties are enabled, and their times in seconds.
 
     Attributes:
         usage: Whether usage is reported.
         scaling: Whether endpoints are ordered.
-        lease_s: Time for which the platform remembers a holder.
-        window_s: Length of a window of usage.
-        delay_s: Time after a window's end at which its report is due.
+        lease_s: Lease that the platform grants to the duty holder.
+        window_s: Length of a usage window.
+        delay_s: Time after a window's end by which its report is due.
     """
 
     usage: bool
@@ -69,96 +69,102 @@
     delay_s: float
 
 
-class Holder:
-    """The holding of the duties by this process.
+class DutyHolder:
+    """Tracks whether this process may perform the duties.
 
     Attributes:
-        term: Term in which it leads, 0 if it does not.
-        since: When it began to lead in that term.
+        term: Term in which this process leads, 0 if it does not.
+        leading_since: When it became leader in that term, in seconds.
     """
 
     def __init__(self, *, parts: process.Parts, options: Options):
         self.parts = parts
         self.options = options
         self.term = 0
-        self.since = 0.0
+        self.leading_since = 0.0
 
     def may_act(self) -> bool:
-        """Tells whether this process holds the duties right now."""
+        """Returns whether this process may perform the duties now."""
         member = self.parts.member
         if not member.is_current:
             return False
-        waited = member.now() - self.since
-        return waited > self.options.lease_s + MARGIN_S
+        elapsed_s = member.now() - self.leading_since
+        return elapsed_s > self.options.lease_s + IN_FLIGHT_MARGIN_S
 
-    def follow_term(self) -> bool:
-        """Notes a change of leader; returns whether this process leads."""
+    def update_term(self) -> bool:
+        """Records a change of term; returns whether this process leads."""
         member = self.parts.member
         term = member.replica.term if member.is_leader else 0
         if term != self.term:
             self.term = term
-            self.since = member.now()
+            self.leading_since = member.now()
         return bool(term)
 
 
-async def run(parts: process.Parts, calls: Calls, options: Options) -> None:
-    """Fulfils the duties whenever this process holds them."""
-    holder = Holder(parts=parts, options=options)
-    reports = usage_reports.Reports(window_s=options.window_s)
+async def run(
+    parts: process.Parts, platform_calls: Calls, options: Options
+) -> None:
+    """Performs the duties while this process holds them."""
+    holder = DutyHolder(parts=parts, options=options)
+    sent_reports = usage_reports.SentReports(window_s=options.window_s)
     fleets = scaling.Fleets()
     while True:
-        await asyncio.sleep(TICK_S)
-        if not holder.follow_term():
-            reports.forget_sent()
+        await asyncio.sleep(TICK_INTERVAL_S)
+        if not holder.update_term():
+            sent_reports.clear()
             fleets = scaling.Fleets()
             continue
         if not holder.may_act():
             continue
         try:
             if options.usage:
-                await _report_usage(holder, calls, reports)
+                await _report_usage(holder, platform_calls, sent_reports)
             if options.scaling:
-                await _order(holder, calls, fleets)
+                await _order_endpoints(holder, platform_calls, fleets)
         except Exception as error:  # noqa: BLE001
-            # One faulty duty must not end the others for good.
+            # An error in one duty must not end the loop.
             events.warn(events.Event.TASK_FAILED, "duties", repr(error))
 
 
 async def _report_usage(
-    holder: Holder, calls: Calls, reports: usage_reports.Reports
+    holder: DutyHolder,
+    platform_calls: Calls,
+    sent_reports: usage_reports.SentReports,
 ) -> None:
     parts, options = holder.parts, holder.options
-    await usage_reports.settle_due(parts, reports, options.delay_s)
-    for window, counts in usage_reports.unsent(parts, reports):
+    await usage_reports.settle_due_windows(parts, sent_reports, options.delay_s)
+    for window, counts in usage_reports.unsent_windows(parts, sent_reports):
         if not holder.may_act():
             return
         report = UsageReport(window, counts, holder.term)
-        outcome = await calls.report_usage(report)
-        _note(holder, "usage", window, counts, outcome)
+        outcome = await platform_calls.report_usage(report)
+        _record_call(holder, "usage", window, counts, outcome)
         if outcome == DONE:
-            reports.sent.add(window)
+            sent_reports.accepted_windows.add(window)
 
 
-async def _order(holder: Holder, calls: Calls, fleets: scaling.Fleets) -> None:
+async def _order_endpoints(
+    holder: DutyHolder, platform_calls: Calls, fleets: scaling.Fleets
+) -> None:
     member = holder.parts.member
-    for upstream, wanted in scaling.decide(holder.parts, fleets):
+    for upstream, planned in scaling.decide_orders(holder.parts, fleets):
         if not holder.may_act():
             return
-        order = Order(upstream, *wanted, holder.term)
-        outcome = await calls.order_endpoints(order)
-        kind = "reclaimable" if wanted.reclaimable else "on-demand"
-        subject = f"{upstream}/{wanted.domain}/{kind}"
-        _note(holder, "scaling", subject, wanted.count, outcome)
+        order = Order(upstream, *planned, holder.term)
+        outcome = await platform_calls.order_endpoints(order)
+        kind = "reclaimable" if planned.reclaimable else "on-demand"
+        subject = f"{upstream}/{planned.domain}/{kind}"
+        _record_call(holder, "scaling", subject, planned.count, outcome)
         fleetplan.note_outcome(
             fleets.fleet(upstream),
-            wanted,
+            planned,
             accepted=outcome == DONE,
             now=member.now(),
         )
 
 
-def _note(
-    holder: Holder, duty: str, subject: Any, value: Any, outcome: str
+def _record_call(
+    holder: DutyHolder, duty: str, subject: Any, value: Any, outcome: str
 ) -> None:
     events.record(
         events.Event.DUTY_CALL, duty, subject, holder.term, value, outcome
--- a/src/_arbutuswalk/control/hub.py
+++ b/src/_arbutuswalk/control/hub.py
@@ -1,9 +1,10 @@
-"""What control tells entries, and what entries tell control.
+"""Service discovery: exchanges endpoint and entry state with the entries.
 
-Every control process keeps a directory of endpoints of its own, fed by
-announcements that reach it and by those the other members pass on. Entries
-watch every member, so that a leader change or a lost member leaves no gap.
-None of this is replicated: endpoints announce themselves again within seconds.
+Every control process keeps its own directory of endpoints, built from the
+announcements that it receives and from those that other members forward.
+Entries watch every member, so a leader change or the loss of a member does not
+interrupt updates. Nothing here is replicated: endpoints announce themselves
+again within seconds.
 """
 
 import asyncio
@@ -22,50 +23,53 @@
 from _arbutuswalk.wire import packed
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-WATCH_WAIT_S = 0.4
-"""Longest time a watch waits for news; bounds the age of reported loads."""
-ENTRY_SILENT_S = 1.5
-"""Silence after which an entry is not named to callers: three watches."""
-ENTRY_KEPT_S = 60.0
-"""How long the last report of a silent entry counts, for usage."""
-ENDPOINT_KEPT_S = 20.0
-"""Silence after which an endpoint is forgotten: many missed heartbeats."""
-CONFIRM_WAIT_S = 0.4
-"""Longest wait for entries to learn that an endpoint leaves; the announcing
-side allows one second for the answer."""
+WATCH_TIMEOUT_S = 0.4
+"""Longest time a watch waits for an update; bounds the age of the loads."""
+ENTRY_SILENCE_TIMEOUT_S = 1.5
+"""Time without a watch after which an entry is no longer returned to callers:
+three watches."""
+ENTRY_RETENTION_S = 60.0
+"""How long the last report of a silent entry still counts towards usage."""
+ENDPOINT_RETENTION_S = 20.0
+"""Time without an announcement after which an endpoint is removed: many missed
+heartbeats."""
+CONFIRM_TIMEOUT_S = 0.4
+"""Longest wait until entries know that an endpoint is leaving; the announcing
+endpoint allows one second for the response."""
 
 ROUTES_PART_BYTES = 32 * 1024
-"""Size of a part of a configuration: 0.05 s over a link of 5 Mbit/s."""
+"""Largest part of a configuration per reply: 0.05 s on a 5 Mbit/s link."""
 
 
 class EntryState(NamedTuple):
     """An entry as this member knows it.
 
     Attributes:
-        incarnation: Start of the entry's process.
-        revision: Revision of the directory it has.
+        incarnation: Incarnation of the entry process.
+        revision: Directory revision that the entry has.
         report: Its last report.
-        seen_at: When it last asked, in seconds.
+        last_watch_at: When it last sent a watch, in seconds.
     """
 
     incarnation: int
     revision: int
     report: dict[str, Any]
-    seen_at: float
+    last_watch_at: float
 
 
 class Hub:
-    """Directory of endpoints and entries at one control process.
+    """Endpoints and entries known to one control process.
 
     Attributes:
         member: The member of the control group in this process.
-        session: Random name of this start, which revisions belong to.
+        session: Random id of this process start; revisions are valid only
+            within it.
         directory: Endpoints.
         entries: State by entry id and incarnation.
-        changed: Set and replaced when there is news.
+        changed: Set and replaced when there is an update for entries.
         metrics: Counters of this process.
-        packed_routes: Configuration of routes as entries fetch it.
-        packed_version: Version of it.
+        packed_routes: Route configuration as entries fetch it.
+        packed_routes_version: Version of that configuration.
     """
 
     def __init__(self, *, member: members.Member):
@@ -77,34 +81,34 @@
         self.now: clock.Clock = member.now
         self.wall: clock.Clock = member.wall
         self.metrics = metrics.Metrics()
-        self.packed_version = 0
+        self.packed_routes_version = 0
         self.packed_routes = b""
 
-    def announce(self, said: directories.Endpoint) -> bool:
-        """Takes an announcement and passes it on to the other members."""
-        self._post_to_members(said)
-        return self.take(said)
+    def announce(self, endpoint: directories.Endpoint) -> bool:
+        """Applies an announcement and forwards it to the other members."""
+        self._forward_to_members(endpoint)
+        return self.apply_announcement(endpoint)
 
-    def take(self, said: directories.Endpoint) -> bool:
-        """Takes an announcement, from an endpoint or another member."""
-        news = directories.announce(self.directory, said, self.now())
-        self.metrics.count("announcements", f'news="{news}"')
-        if news:
+    def apply_announcement(self, endpoint: directories.Endpoint) -> bool:
+        """Applies an announcement; returns whether it changed the directory."""
+        is_change = directories.announce(self.directory, endpoint, self.now())
+        self.metrics.count("announcements", f'news="{is_change}"')
+        if is_change:
             events.record(
                 events.Event.ENDPOINT_CHANGED,
-                said.id,
-                said.upstream,
-                said.version,
-                said.state,
-                said.born_ms,
-                said.sequence,
-                said.address,
+                endpoint.id,
+                endpoint.upstream,
+                endpoint.version,
+                endpoint.state,
+                endpoint.born_ms,
+                endpoint.sequence,
+                endpoint.address,
             )
-            self.wake()
-        return news
+            self.notify_watches()
+        return is_change
 
     def leave(self, endpoint_id: str, born_ms: int | None) -> bool:
-        """Takes a deregistration; returns whether it was news."""
+        """Applies a deregistration; returns whether it changed anything."""
         row = self.directory.rows.get(endpoint_id)
         if row is None:
             return False
@@ -112,121 +116,124 @@
             return False
         return self.announce(row.endpoint._replace(state=directories.GONE))
 
-    def forget(self, endpoint_id: str) -> None:
-        """Drops an endpoint that was read back and not heard since."""
+    def drop(self, endpoint_id: str) -> None:
+        """Removes an endpoint that was restored from disk and not confirmed."""
         directories.forget(self.directory, endpoint_id)
         events.record(events.Event.ENDPOINT_FORGOTTEN, endpoint_id)
 
     async def confirm(self) -> bool:
-        """Waits until every reachable entry has the directory as it is now.
+        """Waits until every reachable entry has the current directory.
 
         Returns:
-            Whether all of them have it.
+            Whether all of them have it within the timeout.
         """
         revision = self.directory.revision
-        deadline = self.now() + CONFIRM_WAIT_S
-        while self._behind(revision):
-            left = deadline - self.now()
-            if left <= 0:
+        deadline = self.now() + CONFIRM_TIMEOUT_S
+        while self._has_entry_behind(revision):
+            remaining_s = deadline - self.now()
+            if remaining_s <= 0:
                 return False
-            await asyncio.sleep(min(left, members.TICK_S))
+            await asyncio.sleep(min(remaining_s, members.TICK_INTERVAL_S))
         return True
 
     def ready_entries(self) -> list[dict[str, Any]]:
-        """Returns the reports of entries that callers may use."""
+        """Returns the reports of reachable entries that are ready."""
         return [
             state.report
-            for state in self.live_entries().values()
+            for state in self.reachable_entries().values()
             if state.report.get("ready")
         ]
 
-    def live_entries(self) -> dict[str, EntryState]:
+    def reachable_entries(self) -> dict[str, EntryState]:
         """Returns the newest incarnation of each reachable entry, by id."""
-        oldest = self.now() - ENTRY_SILENT_S
-        return _newest(
+        cutoff = self.now() - ENTRY_SILENCE_TIMEOUT_S
+        return _newest_incarnations(
             {
                 key: state
                 for key, state in self.entries.items()
-                if state.seen_at >= oldest
+                if state.last_watch_at >= cutoff
             }
         )
 
     async def watch(self, message: ttypes.Watch) -> ttypes.WatchReply:
-        """Answers an entry when there is news for it, or after a while."""
+        """Replies to an entry once there is an update, or after a timeout."""
         self.metrics.count("watches")
         revision = message.version if message.session == self.session else 0
-        self._note(message, revision)
-        if not self._has_news(message, revision):
+        self._record_watch(message, revision)
+        if not self._has_update(message, revision):
             changed = self.changed
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(changed.wait(), WATCH_WAIT_S)
+                await asyncio.wait_for(changed.wait(), WATCH_TIMEOUT_S)
         return ttypes.WatchReply(
             session=self.session,
             version=self.directory.revision,
-            news=packed.pack(self._news(revision)),
+            news=packed.pack(self._build_update(revision)),
         )
 
-    def wake(self) -> None:
-        """Answers all waiting watches."""
+    def notify_watches(self) -> None:
+        """Wakes all waiting watches so that they reply."""
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
     def expire(self) -> None:
-        """Forgets what was not heard for long."""
+        """Removes endpoints and entries that have been silent for too long."""
         now = self.now()
-        for name in directories.expire(self.directory, now, ENDPOINT_KEPT_S):
+        for name in directories.expire(
+            self.directory, now, ENDPOINT_RETENTION_S
+        ):
             events.record(events.Event.ENDPOINT_FORGOTTEN, name)
         for key, state in list(self.entries.items()):
-            if now - state.seen_at > ENTRY_KEPT_S:
+            if now - state.last_watch_at > ENTRY_RETENTION_S:
                 del self.entries[key]
 
     def reports(self) -> list[dict[str, Any]]:
-        """Returns the last report of every start of every entry."""
+        """Returns the last report of every incarnation of every entry."""
         return [state.report for state in self.entries.values()]
 
     def known_entries(self) -> set[str]:
         """Returns the entries that may be serving, reachable or not.
 
-        One that said that it leaves no longer counts.
+        Entries that reported that they have left are excluded.
         """
         return {
             name
-            for name, state in _newest(self.entries).items()
+            for name, state in _newest_incarnations(self.entries).items()
             if not state.report.get("left")
         }
 
-    def taken(self) -> dict[str, float]:
-        """Returns what all entries took of each workspace's quota."""
+    def quota_taken(self) -> dict[str, float]:
+        """Returns the quota used by all entries together, by workspace."""
         totals: dict[str, float] = {}
         for state in self.entries.values():
-            for name, number in state.report.get("taken", {}).items():
-                totals[name] = totals.get(name, 0.0) + number
+            for name, amount in state.report.get("taken", {}).items():
+                totals[name] = totals.get(name, 0.0) + amount
         return totals
 
     def loads(self) -> dict[str, tuple[int, int]]:
-        """Returns requests and unread tokens by endpoint, over all entries."""
+        """Returns requests and unprocessed prompt tokens, by endpoint."""
         totals: dict[str, tuple[int, int]] = {}
-        for state in self.live_entries().values():
+        for state in self.reachable_entries().values():
             for endpoint, load in state.report.get("loads", {}).items():
                 running, tokens = totals.get(endpoint, (0, 0))
                 totals[endpoint] = (running + load[0], tokens + load[1])
         return totals
 
-    def wall_at(self, state: EntryState) -> float:
-        """Returns this process's time of day when an entry last asked."""
-        return self.wall() - (self.now() - state.seen_at)
+    def wall_at_last_watch(self, state: EntryState) -> float:
+        """Returns this process's wall clock time of an entry's last watch."""
+        return self.wall() - (self.now() - state.last_watch_at)
 
     def member_addresses(self) -> list[str]:
-        """Returns the link addresses of all members, own included."""
+        """Returns the link addresses of all members, including this one."""
         known = self.member.replica.log.members.addresses.values()
         return sorted({self.member.address, *known})
 
-    def _behind(self, revision: int) -> bool:
+    def _has_entry_behind(self, revision: int) -> bool:
         return any(
-            state.revision < revision for state in self.live_entries().values()
+            state.revision < revision
+            for state in self.reachable_entries().values()
         )
 
-    def _note(self, message: ttypes.Watch, revision: int) -> None:
+    def _record_watch(self, message: ttypes.Watch, revision: int) -> None:
         self.entries[message.entry, message.incarnation] = EntryState(
             message.incarnation,
             revision,
@@ -234,7 +241,7 @@
             self.now(),
         )
 
-    def _has_news(self, message: ttypes.Watch, revision: int) -> bool:
+    def _has_update(self, message: ttypes.Watch, revision: int) -> bool:
         tables = self.member.tables
         if message.session != self.session:
             return True
@@ -243,19 +250,19 @@
         return directories.has_news_since(self.directory, revision)
 
     def routes_part(self, message: ttypes.RoutesRequest) -> ttypes.RoutesPart:
-        """Returns a part of the packed configuration of routes."""
+        """Returns a part of the packed route configuration."""
         tables = self.member.tables
-        if self.packed_version != tables.routes_version:
-            self.packed_version = tables.routes_version
+        if self.packed_routes_version != tables.routes_version:
+            self.packed_routes_version = tables.routes_version
             self.packed_routes = packed.pack(tables.routes)
         end = message.offset + ROUTES_PART_BYTES
         return ttypes.RoutesPart(
-            version=self.packed_version,
+            version=self.packed_routes_version,
             size=len(self.packed_routes),
             data=self.packed_routes[message.offset : end],
         )
 
-    def _news(self, revision: int) -> dict[str, Any]:
+    def _build_update(self, revision: int) -> dict[str, Any]:
         tables = self.member.tables
         known = self.known_entries()
         return {
@@ -264,29 +271,29 @@
             "members": self.member_addresses(),
             "rollouts": tables.rollouts,
             "loads": self.loads(),
-            "taken": self.taken(),
+            "taken": self.quota_taken(),
             "entries": len(known),
-            "silent": len(known - self.live_entries().keys()),
+            "silent": len(known - self.reachable_entries().keys()),
             "wall": self.wall(),
-            "term": self._deciding_term(),
+            "term": self._lease_term(),
             "refused": crashes.add_up(
                 [report.get("deaths", {}) for report in self.reports()]
             ),
         }
 
-    def _deciding_term(self) -> int:
-        """Returns the term in which this member decides alone, or 0."""
+    def _lease_term(self) -> int:
+        """Returns the term if this member holds the leader lease, else 0."""
         return self.member.replica.term if self.member.holds_lease else 0
 
-    def _post_to_members(self, said: directories.Endpoint) -> None:
-        payload = json.dumps(said).encode()
+    def _forward_to_members(self, endpoint: directories.Endpoint) -> None:
+        payload = json.dumps(endpoint).encode()
         message = ttypes.UpstreamNews(announcements=[payload])
         for address in self.member_addresses():
             if address != self.member.address:
                 self.member.link_to(address).post(message)
 
 
-def _newest(
+def _newest_incarnations(
     entries: dict[tuple[str, int], EntryState],
 ) -> dict[str, EntryState]:
     """Returns the state of each entry's newest incarnation, by id."""
--- a/src/_arbutuswalk/control/leader.py
+++ b/src/_arbutuswalk/control/leader.py
@@ -1,4 +1,4 @@
-"""Has the leader answer, wherever in the group it is."""
+"""Sends commands and reads to the leader, whichever member that is."""
 
 import asyncio
 import dataclasses
@@ -10,21 +10,21 @@
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-PAUSE_S = 0.05
+RETRY_INTERVAL_S = 0.05
 CALL_TIMEOUT_S = 0.6
-"""Time for one call to the leader: an election takes about as long."""
+"""Timeout of one call to the leader: about as long as an election takes."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unavailable:
-    """No leader answered in time; a command may be committed or not."""
+    """No leader answered in time; whether a command committed is unknown."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Invalid:
-    """The leader refused the message as invalid."""
+    """The leader rejected the message as invalid."""
 
     reason: str
 
@@ -32,9 +32,9 @@
 async def submit(
     service: services.Service, command: commands.Command, *, timeout_s: float
 ) -> outcomes.Outcome | Unavailable | Invalid:
-    """Commits a command that is safe to send again."""
+    """Commits an idempotent command, retrying until the timeout."""
     message = ttypes.Submit(command=commands.encode(command))
-    reply = await _ask(service, message, timeout_s)
+    reply = await _call_leader(service, message, timeout_s)
     if isinstance(reply, Unavailable | Invalid):
         return reply
     return outcomes.decode(reply.result)
@@ -47,15 +47,15 @@
     *,
     timeout_s: float,
 ) -> Any | Unavailable | Invalid:
-    """Reads state that holds all that was committed before the call."""
+    """Reads state that includes everything committed before the call."""
     message = ttypes.Read(query=query, argument=argument)
-    reply = await _ask(service, message, timeout_s)
+    reply = await _call_leader(service, message, timeout_s)
     if isinstance(reply, Unavailable | Invalid):
         return reply
     return json.loads(reply.result)
 
 
-async def _ask(
+async def _call_leader(
     service: services.Service, message: object, timeout_s: float
 ) -> object | Unavailable | Invalid:
     member = service.member
@@ -65,9 +65,9 @@
         reply = await service.handle(message)
         leader = getattr(reply, "leader", None)
         if leader and leader != member.address:
-            left = max(0.0, deadline - member.now())
+            remaining_s = max(0.0, deadline - member.now())
             reply = await member.link_to(leader).call(
-                message, timeout_s=min(CALL_TIMEOUT_S, left)
+                message, timeout_s=min(CALL_TIMEOUT_S, remaining_s)
             )
         status = getattr(reply, "status", None)
         if status == ttypes.Status.OK:
@@ -75,6 +75,6 @@
         if status == ttypes.Status.INVALID:
             return Invalid(reason=reply.reason)
         reason = getattr(reply, "reason", None) or reason
-        if member.now() + PAUSE_S >= deadline:
+        if member.now() + RETRY_INTERVAL_S >= deadline:
             return Unavailable(reason=reason)
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
--- a/src/_arbutuswalk/control/systems.py
+++ b/src/_arbutuswalk/control/leader_tasks.py
@@ -1,4 +1,4 @@
-"""Systems that the leader runs over the tables each tick."""
+"""Periodic tasks of the leader: lost entries, moves, reclaims and charges."""
 
 import asyncio
 from typing import Any
@@ -6,28 +6,29 @@
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import events
 from _arbutuswalk.control import metering
-from _arbutuswalk.control import platform
+from _arbutuswalk.control import platform_client
 from _arbutuswalk.control import service as services
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import entries
 from _arbutuswalk.state import moveplan
 from _arbutuswalk.state import outcomes
 
-TICK_S = 0.25
+TICK_INTERVAL_S = 0.25
 COMMAND_TIMEOUT_S = 2.0
 
 
-class Systems:
-    """Runs the leader's systems while this member may decide alone.
+class LeaderTasks:
+    """Runs the leader's periodic tasks while this member holds the lease.
 
     Attributes:
         service: The process's service, with its member and leases.
         values: Settings.
         platform: Client of the platform, or None.
         term: Term in which the volatile state below was gathered.
-        trials: Evidence on moves.
-        meter: Usage and bills since the last interval.
-        notices: Number of the next reclaim notice to ask for.
+        trials: Evidence on version moves.
+        meter: Totals of usage and bills at the end of the last interval.
+        next_notice: Number of the next reclaim notice to request.
+        next_charge_at: When the next charge is due, in seconds.
     """
 
     def __init__(self, *, service: services.Service, values: dict[str, Any]):
@@ -35,34 +36,36 @@
         self.values = values
         self.platform = None
         if values["platform"]:
-            self.platform = platform.Platform(address=values["platform"])
+            self.platform = platform_client.PlatformClient(
+                address=values["platform"]
+            )
         self.term = -1
         self.trials = moveplan.Trials()
         self.meter = metering.Meter()
-        self.notices = 0
-        self.charge_at = 0.0
+        self.next_notice = 0
+        self.next_charge_at = 0.0
 
     async def run(self) -> None:
-        """Runs every tick until cancelled."""
+        """Runs the tasks at a fixed interval until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             if not self.service.member.is_current:
                 continue
-            self._follow_term()
+            self._reset_on_new_term()
             try:
                 await self._tick()
             except Exception as error:  # noqa: BLE001
-                # One faulty system must not end the others for good.
+                # An error in one task must not end the loop.
                 events.warn(events.Event.TASK_FAILED, "systems", repr(error))
 
-    def _follow_term(self) -> None:
-        """Drops what was gathered under another term."""
+    def _reset_on_new_term(self) -> None:
+        """Drops the state that was gathered in another term."""
         term = self.service.member.replica.term
         if term != self.term:
             self.term = term
             self.trials = moveplan.Trials()
             self.meter = metering.Meter()
-            self.notices = 0
+            self.next_notice = 0
 
     async def _tick(self) -> None:
         for command in self._lost_entries():
@@ -70,13 +73,13 @@
         for command in self._due_moves():
             await self._step_move(command)
         if self.platform is not None:
-            await self._take_notices()
+            await self._mark_reclaimed()
             await self._charge()
-        await self._pass_time()
+        await self._advance_log_time()
 
     def _lost_entries(self) -> list[commands.Command]:
         member = self.service.member
-        lost = self.service.leases.lost(member.tables, member.now())
+        lost = self.service.leases.lost_entries(member.tables, member.now())
         for entry, incarnation in lost:
             events.log(events.Event.ENTRY_LOST, entry, incarnation)
         return [
@@ -99,52 +102,52 @@
                 command.reason,
             )
 
-    async def _take_notices(self) -> None:
-        """Marks instances whose reclaim the platform announced."""
-        notices = await self.platform.notices(self.notices)
+    async def _mark_reclaimed(self) -> None:
+        """Marks instances that the platform has announced to reclaim."""
+        notices = await self.platform.notices(self.next_notice)
         if not isinstance(notices, list):
             return
         for notice in notices:
-            self.notices += 1
+            self.next_notice += 1
             instance = notice["instance"]
             if instance in self.service.member.tables.leaving:
                 continue
             await self.submit(commands.MarkInstance(instance, notice["in_s"]))
 
     async def _charge(self) -> None:
-        """Settles an interval from the platform's bill."""
+        """Commits the charge of an interval from the platform's bill."""
         now = self.service.member.now()
-        if now < self.charge_at:
+        if now < self.next_charge_at:
             return
-        self.charge_at = now + self.values["interval_s"]
+        self.next_charge_at = now + self.values["interval_s"]
         bill = await self.platform.bill()
         if not isinstance(bill, dict):
             return
         tables = self.service.member.tables
         reports = self.service.leases.reports(tables)
-        command = metering.settle(
+        command = metering.compute_charge(
             self.meter, tables, reports, bill, self.values["interval_s"]
         )
         if command is not None:
             await self.submit(command)
 
-    async def _pass_time(self) -> None:
-        """Lets log time pass when nothing else does."""
-        behind_ms = self._now_ms() - self.service.member.tables.time_ms
-        if behind_ms > metering.IDLE_TICK_MS:
+    async def _advance_log_time(self) -> None:
+        """Commits a tick if no other command has advanced the log time."""
+        lag_ms = self._now_ms() - self.service.member.tables.time_ms
+        if lag_ms > metering.MAX_LOG_TIME_LAG_MS:
             await self.submit(commands.Tick())
 
     def _now_ms(self) -> int:
         return int(self.service.member.wall() * clock.MS_PER_S)
 
     async def submit(self, command: commands.Command) -> object:
-        """Commits one decision."""
+        """Commits one command."""
         return await self.service.member.submit(
             commands.encode(command), timeout_s=COMMAND_TIMEOUT_S
         )
 
     def dump(self) -> dict[str, Any]:
-        """Returns the systems' own state for the dump."""
+        """Returns the state of these tasks for the dump."""
         return {
             "trials": {
                 f"{move}|{route}": {
@@ -160,6 +163,6 @@
         }
 
     async def close(self) -> None:
-        """Closes connections."""
+        """Closes the connection to the platform."""
         if self.platform is not None:
             await self.platform.close()
--- a/src/_arbutuswalk/control/leases.py
+++ b/src/_arbutuswalk/control/leases.py
@@ -1,4 +1,4 @@
-"""Leases that the leader grants to entries, and what is in force where."""
+"""Leases that the leader grants to entries, and the revisions they serve."""
 
 import json
 from typing import NamedTuple
@@ -8,23 +8,23 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 LEASE_S = 3.0
-"""How long an entry may admit work after it asked for a stamp."""
-LOST_S = 2 * LEASE_S
-"""After how long without a stamp an entry counts as gone."""
+"""How long an entry may admit work after it requested a lease."""
+LOST_TIMEOUT_S = 2 * LEASE_S
+"""Time without a lease request after which an entry counts as lost."""
 
 
 class Grant(NamedTuple):
-    """What the leader last granted to an entry.
+    """The lease of an entry and what the entry last reported.
 
     Attributes:
-        until: Leader's time at which every stamp given has run out.
-        revision: Revision the entry last said it serves.
-        view_version: Version of the view it last said it has.
+        expires_at: Leader's time at which every lease granted has expired.
+        revision: Revision that the entry last reported to serve.
+        view_version: View version that the entry last reported.
         synced_at: Leader's time of its last request.
         report: Entry's last report.
     """
 
-    until: float
+    expires_at: float
     revision: int
     view_version: int
     synced_at: float
@@ -34,25 +34,27 @@
 class Leases:
     """The leader's volatile table of grants.
 
-    A new leader does not know what its predecessor granted, so every known
-    entry counts as holding a fresh stamp with no revision from that moment.
+    A new leader does not know what its predecessor granted, so it assumes that
+    every known entry was granted a lease, with no revision, at that moment.
 
     Attributes:
         grants: Grant by (entry, incarnation).
-        since: When this leader began.
+        leader_since: When this leader's term began.
     """
 
-    def __init__(self, *, since: float):
+    def __init__(self, *, leader_since: float):
         self.grants: dict[tuple[str, int], Grant] = {}
-        self.since = since
+        self.leader_since = leader_since
 
     def find(self, entry: str, incarnation: int) -> Grant:
-        """Returns the grant of an entry, assumed if none is known."""
-        unknown = Grant(self.since + LEASE_S, 0, 0, self.since, {})
-        return self.grants.get((entry, incarnation), unknown)
+        """Returns the grant of an entry, or an assumed one if unknown."""
+        assumed = Grant(
+            self.leader_since + LEASE_S, 0, 0, self.leader_since, {}
+        )
+        return self.grants.get((entry, incarnation), assumed)
 
-    def note(self, message: ttypes.Sync, now: float) -> None:
-        """Notes what an entry says, before it is given a new stamp."""
+    def record_sync(self, message: ttypes.Sync, now: float) -> None:
+        """Records an entry's request, without extending its lease."""
         known = self.find(message.entry, message.incarnation)
         self.grants[message.entry, message.incarnation] = known._replace(
             revision=message.revision,
@@ -62,29 +64,31 @@
         )
 
     def grant(self, message: ttypes.Sync, now: float) -> None:
-        """Notes a stamp given at ``now``."""
+        """Records a lease granted at ``now``."""
         known = self.find(message.entry, message.incarnation)
         key = (message.entry, message.incarnation)
-        self.grants[key] = known._replace(until=now + LEASE_S, synced_at=now)
+        self.grants[key] = known._replace(
+            expires_at=now + LEASE_S, synced_at=now
+        )
 
-    def behind(
+    def entries_behind(
         self, tables: rows.Tables, revision: int, now: float
     ) -> list[str]:
-        """Returns entries that may still serve an older revision."""
-        late = []
+        """Returns the entries that may still serve an older revision."""
+        behind = []
         for entry, row in tables.entries.items():
             if row.state == entries.GONE:
                 continue
             grant = self.find(entry, row.incarnation)
-            if grant.revision < revision and grant.until > now:
-                late.append(entry)
-        return late
+            if grant.revision < revision and grant.expires_at > now:
+                behind.append(entry)
+        return behind
 
-    def is_alone(self, tables: rows.Tables, upstream: str) -> bool:
-        """Tells whether nothing runs on an upstream that was reserved.
+    def is_idle(self, tables: rows.Tables, upstream: str) -> bool:
+        """Returns whether no request runs on an isolated upstream.
 
-        Every entry has to have seen the reservation and to have said since
-        that it runs nothing there.
+        Every entry must have seen the isolation and have reported since that
+        it runs nothing there.
         """
         isolation = tables.isolations.get(upstream)
         if isolation is None:
@@ -99,13 +103,16 @@
                 return False
         return True
 
-    def lost(self, tables: rows.Tables, now: float) -> list[tuple[str, int]]:
-        """Returns entries that have not asked for a stamp for too long."""
+    def lost_entries(
+        self, tables: rows.Tables, now: float
+    ) -> list[tuple[str, int]]:
+        """Returns the entries whose last lease request is too long ago."""
         return [
             (entry, row.incarnation)
             for entry, row in tables.entries.items()
             if row.state != entries.GONE
-            and now - self.find(entry, row.incarnation).synced_at > LOST_S
+            and now - self.find(entry, row.incarnation).synced_at
+            > LOST_TIMEOUT_S
         ]
 
     def reports(self, tables: rows.Tables) -> dict[str, dict]:
--- a/src/_arbutuswalk/control/main.py
+++ b/src/_arbutuswalk/control/main.py
@@ -40,11 +40,11 @@
 )
 
 LEASE_FRACTION = 0.75
-"""Leader's lease as a part of the election timeout."""
+"""Leader lease as a fraction of the election timeout."""
 
 
-def make_core(values: dict[str, Any]) -> replicated.Replicated:
-    """Returns the member's replica with its disk, not recovered yet."""
+def make_durable_replica(values: dict[str, Any]) -> replicated.Replicated:
+    """Returns the member's replica and its data folder, before recovery."""
     return replicated.Replicated(
         data=folder.Folder(path=values["data"]),
         identity=replicated.Identity(
@@ -63,7 +63,7 @@
 
 
 def main() -> None:
-    """Runs the binary."""
+    """Runs the control process from its settings file."""
     values = process.load_settings("arbutuswalk-control", FIELDS, sys.argv[1:])
     process.start_logging(values["log_level"])
-    sys.exit(asyncio.run(processes.run(values, make_core(values))))
+    sys.exit(asyncio.run(processes.run(values, make_durable_replica(values))))
--- a/src/_arbutuswalk/control/member.py
+++ b/src/_arbutuswalk/control/member.py
@@ -1,7 +1,7 @@
-"""Runs one replica in a process: event loop, links, waiting callers.
+"""Runs one replica in a process: event loop, links and pending commands.
 
-Everything the replica promises goes out only after it is synced; one sync
-covers all that queued up during the one before.
+Messages that depend on durable state are sent only after that state is synced;
+one sync covers everything that was queued during the previous one.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 from _arbutuswalk.storage import errors
 from _arbutuswalk.wire import link
 
-TICK_S = 0.02
-HELLO_S = 0.3
-DISK_FULL_PAUSE_S = 0.25
-"""Pause between two tries to write to a full disk."""
+TICK_INTERVAL_S = 0.02
+HELLO_INTERVAL_S = 0.3
+DISK_FULL_RETRY_S = 0.25
+"""Interval between attempts to write to a full disk."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotLeader:
-    """This member does not lead; nothing was done.
+    """This member is not the leader; the command was not proposed.
 
     Attributes:
         leader: Address of the leader, if known.
@@ -41,13 +41,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Undecided:
-    """The command may or may not be committed; send the same one again."""
+    """Whether the command committed is unknown; the caller may retry it."""
 
     reason: str
 
 
-class Waiting(NamedTuple):
-    """A proposed command and who waits for its outcome."""
+class PendingCommand(NamedTuple):
+    """A proposed command and the future that receives its outcome."""
 
     term: int
     future: asyncio.Future
@@ -57,68 +57,71 @@
     """One member of the control group.
 
     Attributes:
-        core: Replica, disk and tables.
-        waiting: Proposed commands by log index.
+        durable_replica: Replica, disk and tables.
+        pending: Proposed commands by log index.
         inbox: Messages from other members, in order of arrival.
         proposals: Commands to propose, with their futures.
         links: Link to each address.
         changed: Set and replaced whenever the tables or the role change.
-        failure: Why storage made the member stop.
-        seeds: Addresses at which other members are looked for; those that
-            found the group are in ``core.identity`` and never change.
-        on_role: Called when role or term change.
+        failure: The storage error that stopped the member, if any.
+        seeds: Addresses at which other members are looked for; the founding
+            members are in ``durable_replica.identity`` and never change.
+        on_role_change: Called when the role or term changes.
     """
 
     def __init__(
         self,
         *,
-        core: replicated.Replicated,
+        durable_replica: replicated.Replicated,
         now: clock.Clock = clock.monotonic,
         wall: clock.Clock = clock.wall,
     ):
-        self.core = core
+        self.durable_replica = durable_replica
         self.now = now
         self.wall = wall
-        self.waiting: dict[int, Waiting] = {}
+        self.pending: dict[int, PendingCommand] = {}
         self.inbox: list[object] = []
         self.proposals: list[tuple[bytes, asyncio.Future]] = []
         self.links: dict[str, link.Link] = {}
         self.changed = asyncio.Event()
         self.wake = asyncio.Event()
         self.failure: errors.StorageError | None = None
-        self.hello_at = 0.0
-        self.seeds = core.identity.peers
-        self.on_role: Callable[[], None] = lambda: None
+        self.next_hello_at = 0.0
+        self.seeds = durable_replica.identity.peers
+        self.on_role_change: Callable[[], None] = lambda: None
 
     @property
     def replica(self) -> replicas.Replica:
-        """The replica."""
-        return self.core.replica
+        """The consensus state of this member."""
+        return self.durable_replica.replica
 
     @property
     def tables(self) -> rows.Tables:
         """State after all applied entries."""
-        return self.core.tables
+        return self.durable_replica.tables
 
     @property
     def address(self) -> str:
-        """``IP:port`` it listens on."""
-        return self.core.identity.address
+        """``IP:port`` that this member listens on."""
+        return self.durable_replica.identity.address
 
     @property
     def is_leader(self) -> bool:
         """Whether this member leads its term."""
-        return self.core.is_leader
+        return self.durable_replica.is_leader
 
     @property
     def holds_lease(self) -> bool:
-        """Whether this member may answer and order alone right now."""
+        """Whether this member holds the leader lease at this moment."""
         return lease.holds(self.replica, self.now())
 
     @property
     def is_current(self) -> bool:
-        """Whether the tables hold all that was committed before now."""
-        return self.holds_lease and self.core.applied >= self.replica.commit
+        """Whether the tables include everything committed before now."""
+        return (
+            self.holds_lease
+            and self.durable_replica.applied >= self.replica.commit
+        )
 
     def leader_address(self) -> str:
         """Returns the leader's address, or an empty string."""
@@ -149,17 +152,17 @@
         role = None
         while self.failure is None:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.wake.wait(), TICK_S)
+                await asyncio.wait_for(self.wake.wait(), TICK_INTERVAL_S)
             self.wake.clear()
             self._step()
-            await self._flush()
+            await self._persist_and_send()
             await self._apply_committed()
             if role != (self.replica.role, self.replica.term):
                 role = (self.replica.role, self.replica.term)
                 self._role_changed()
         text = errors.describe(self.failure)
         events.warn(events.Event.STORAGE_FAILED, text)
-        self._fail_waiting("storage failed")
+        self._fail_pending("storage failed")
 
     def _step(self) -> None:
         now = self.now()
@@ -167,10 +170,10 @@
         for command, future in proposals:
             self._propose(command, future, now)
         inbox, self.inbox = self.inbox, []
-        self.core.step(inbox, now)
-        if now >= self.hello_at:
-            self.hello_at = now + HELLO_S
-            self._say_hello()
+        self.durable_replica.step(inbox, now)
+        if now >= self.next_hello_at:
+            self.next_hello_at = now + HELLO_INTERVAL_S
+            self._send_hello()
 
     def _propose(
         self, command: bytes, future: asyncio.Future, now: float
@@ -178,74 +181,77 @@
         if future.done():
             return
         at_ms = int(self.wall() * clock.MS_PER_S)
-        index = self.core.propose(command, now, at_ms)
+        index = self.durable_replica.propose(command, now, at_ms)
         if index is None:
             future.set_result(NotLeader(leader=self.leader_address()))
         else:
-            self.waiting[index] = Waiting(self.replica.term, future)
+            self.pending[index] = PendingCommand(self.replica.term, future)
 
-    async def _flush(self) -> None:
-        """Sends what may go, makes the rest durable, sends that too."""
-        ready = self.core.take()
+    async def _persist_and_send(self) -> None:
+        """Sends early messages, persists the round, then sends late ones."""
+        ready = self.durable_replica.take()
         self._send(ready.early)
         unsaved = ready.snapshot or ready.vote or ready.entries
         if unsaved or ready.commit is not None:
             loop = asyncio.get_running_loop()
             self.failure = await loop.run_in_executor(
-                None, self.core.persist, ready
+                None, self.durable_replica.persist, ready
             )
             while isinstance(self.failure, errors.DiskFull):
                 self.failure = await self._persist_again(ready)
             if self.failure is not None:
                 return
-            self.core.saved(ready)
+            self.durable_replica.saved(ready)
         self._send(ready.late)
 
     async def _persist_again(
         self, ready: types.Ready
     ) -> errors.StorageError | None:
-        """Tries a full disk again; meanwhile nothing is promised.
+        """Retries a write to a full disk; no late messages are sent meanwhile.
 
-        Ending the process would help nobody: it would find the disk full.
+        The process keeps running: after a restart it would find the disk full
+        again.
         """
         events.record(events.Event.DISK_REFUSED, errors.describe(self.failure))
-        await asyncio.sleep(DISK_FULL_PAUSE_S)
+        await asyncio.sleep(DISK_FULL_RETRY_S)
         loop = asyncio.get_running_loop()
-        return await loop.run_in_executor(None, self.core.persist, ready)
+        return await loop.run_in_executor(
+            None, self.durable_replica.persist, ready
+        )
 
     async def _apply_committed(self) -> None:
-        before = self.core.applied
+        before = self.durable_replica.applied
         while self.failure is None:
-            applied = self.core.apply_next()
+            applied = self.durable_replica.apply_next()
             if applied is None:
                 break
-            self._answer(applied)
+            self._resolve_pending(applied)
             await self._snapshot_if_due()
-        if self.core.applied != before:
-            self._notify()
+        if self.durable_replica.applied != before:
+            self._notify_changed()
 
-    def _answer(self, applied: replicated.Applied) -> None:
-        waiting = self.waiting.pop(applied.index, None)
-        if waiting is None or waiting.future.done():
+    def _resolve_pending(self, applied: replicated.Applied) -> None:
+        pending = self.pending.pop(applied.index, None)
+        if pending is None or pending.future.done():
             return
-        if waiting.term == applied.term and applied.outcome is not None:
-            waiting.future.set_result(applied.outcome)
+        if pending.term == applied.term and applied.outcome is not None:
+            pending.future.set_result(applied.outcome)
         else:
             reason = "another leader's entry took its place"
-            waiting.future.set_result(Undecided(reason=reason))
+            pending.future.set_result(Undecided(reason=reason))
 
     async def _snapshot_if_due(self) -> None:
-        made = self.core.due_snapshot()
-        if made is None:
+        snapshot = self.durable_replica.due_snapshot()
+        if snapshot is None:
             return
         loop = asyncio.get_running_loop()
         self.failure = await loop.run_in_executor(
-            None, self.core.wal.save_snapshot, made
+            None, self.durable_replica.wal.save_snapshot, snapshot
         )
         if self.failure is None:
-            self.core.keep_snapshot(made)
+            self.durable_replica.keep_snapshot(snapshot)
 
-    def _notify(self) -> None:
+    def _notify_changed(self) -> None:
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
@@ -258,21 +264,21 @@
             replica.leader,
         )
         if not self.is_leader:
-            self._fail_waiting("this member no longer leads")
-        self.on_role()
-        self._notify()
+            self._fail_pending("this member no longer leads")
+        self.on_role_change()
+        self._notify_changed()
 
-    def _fail_waiting(self, reason: str) -> None:
-        waiting, self.waiting = self.waiting, {}
-        for item in waiting.values():
+    def _fail_pending(self, reason: str) -> None:
+        pending, self.pending = self.pending, {}
+        for item in pending.values():
             if not item.future.done():
                 item.future.set_result(Undecided(reason=reason))
 
     def _send(self, outgoing: list[types.Outgoing]) -> None:
-        for out in outgoing:
-            address = self._address_of(out.to)
+        for item in outgoing:
+            address = self._address_of(item.to)
             if address:
-                self.link_to(address).post(out.message)
+                self.link_to(address).post(item.message)
 
     def _address_of(self, member: str) -> str:
         seen = self.replica.seen.get(member)
@@ -281,14 +287,14 @@
         return self.replica.log.members.addresses.get(member, "")
 
     def link_to(self, address: str) -> link.Link:
-        """Returns the link to an address, made on first use."""
+        """Returns the link to an address, creating it on first use."""
         found = self.links.get(address)
         if found is None:
             found = link.Link(address=address, now=self.now)
             self.links[address] = found
         return found
 
-    def _say_hello(self) -> None:
+    def _send_hello(self) -> None:
         message = membership.hello(self.replica)
         greeted = membership.greeted(self.replica, self.now())
         for address in (greeted | {*self.seeds}) - {self.address}:
@@ -296,6 +302,6 @@
 
     async def stop(self) -> None:
         """Closes links and files."""
-        for each in self.links.values():
-            await each.stop()
-        self.core.data.close()
+        for open_link in self.links.values():
+            await open_link.stop()
+        self.durable_replica.data.close()
--- a/src/_arbutuswalk/control/metering.py
+++ b/src/_arbutuswalk/control/metering.py
@@ -1,4 +1,4 @@
-"""Turns the platform's bill and the entries' usage into charges."""
+"""Computes charges from the platform's bill and the usage of entries."""
 
 from typing import Any
 
@@ -8,26 +8,26 @@
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.state import tables as rows
 
-IDLE_TICK_MS = 1000
-DEFAULT_SLOTS = 8
+MAX_LOG_TIME_LAG_MS = 1000
+DEFAULT_SLOT_COUNT = 8
 
 
 class Meter:
-    """Totals at the end of the last interval.
+    """Cumulative totals at the end of the last interval.
 
     Attributes:
-        billed: Micro-units by instance.
-        used: Slot milliseconds by (instance, workspace).
-        known: Whether the totals were read at least once by this leader.
+        billed_micro: Micro-units billed, by instance.
+        used_ms: Slot milliseconds used, by (instance, workspace).
+        has_baseline: Whether this leader has read the totals at least once.
     """
 
     def __init__(self):
-        self.billed: dict[str, int] = {}
-        self.used: dict[tuple[str, str], int] = {}
-        self.known = False
+        self.billed_micro: dict[str, int] = {}
+        self.used_ms: dict[tuple[str, str], int] = {}
+        self.has_baseline = False
 
 
-def settle(
+def compute_charge(
     meter: Meter,
     tables: rows.Tables,
     reports: dict[str, dict[str, Any]],
@@ -36,44 +36,51 @@
 ) -> commands.Charge | None:
     """Returns the charge for what was billed since the last interval.
 
-    The bill is cumulative, and so is what was charged: whatever a leader
-    change left out comes with the next interval, as idle time of its owner.
+    Both the bill and the charged total are cumulative, so an amount that a
+    leader change left out is charged with the next interval, as unowned idle
+    time.
     """
-    total = sum(bill.values())
-    due = total - tables.billed_micro
-    used = _sum_usage(reports)
-    if due <= 0:
+    total_micro = sum(bill.values())
+    due_micro = total_micro - tables.billed_micro
+    used_ms = _sum_usage(reports)
+    if due_micro <= 0:
         return None
-    owners = _owners(tables, reports)
+    owners = _owners_and_slots(tables, reports)
     uses = []
-    if meter.known:
-        for instance, billed in sorted(bill.items()):
-            uses.append(_use(meter, instance, billed, used, owners, interval_s))
+    if meter.has_baseline:
+        for instance, billed_micro in sorted(bill.items()):
+            uses.append(
+                _instance_use(
+                    meter, instance, billed_micro, used_ms, owners, interval_s
+                )
+            )
     amounts = charges.divide(uses)
-    rest = due - sum(amounts.values())
-    _add_rest(amounts, rest)
-    meter.billed = dict(bill)
-    meter.used = used
-    meter.known = True
-    return commands.Charge(tables.intervals + 1, due, amounts)
+    unattributed_micro = due_micro - sum(amounts.values())
+    _add_unattributed(amounts, unattributed_micro)
+    meter.billed_micro = dict(bill)
+    meter.used_ms = used_ms
+    meter.has_baseline = True
+    return commands.Charge(tables.intervals + 1, due_micro, amounts)
 
 
-def _use(
+def _instance_use(
     meter: Meter,
     instance: str,
-    billed: int,
-    used: dict[tuple[str, str], int],
+    billed_micro: int,
+    used_ms: dict[tuple[str, str], int],
     owners: dict[str, tuple[str, int]],
     interval_s: float,
 ) -> charges.Use:
-    owner, slots = owners.get(instance, ("", DEFAULT_SLOTS))
+    owner, slots = owners.get(instance, ("", DEFAULT_SLOT_COUNT))
     busy = {
-        workspace: max(0, spent - meter.used.get((at, workspace), 0))
-        for (at, workspace), spent in used.items()
-        if at == instance
+        workspace: max(
+            0, total_ms - meter.used_ms.get((used_instance, workspace), 0)
+        )
+        for (used_instance, workspace), total_ms in used_ms.items()
+        if used_instance == instance
     }
     return charges.Use(
-        bill_micro=billed - meter.billed.get(instance, 0),
+        bill_micro=billed_micro - meter.billed_micro.get(instance, 0),
         idle_account=owner,
         busy=busy,
         capacity=int(interval_s * clock.MS_PER_S) * slots,
@@ -83,19 +90,19 @@
 def _sum_usage(
     reports: dict[str, dict[str, Any]],
 ) -> dict[tuple[str, str], int]:
-    used: dict[tuple[str, str], int] = {}
+    used_ms: dict[tuple[str, str], int] = {}
     for report in reports.values():
         for instance, by_workspace in report.get("usage", {}).items():
-            for workspace, spent in by_workspace.items():
+            for workspace, total_ms in by_workspace.items():
                 key = (instance, workspace)
-                used[key] = used.get(key, 0) + spent
-    return used
+                used_ms[key] = used_ms.get(key, 0) + total_ms
+    return used_ms
 
 
-def _owners(
+def _owners_and_slots(
     tables: rows.Tables, reports: dict[str, dict[str, Any]]
 ) -> dict[str, tuple[str, int]]:
-    """Returns owner and slots by instance."""
+    """Returns the owner and the number of slots, by instance."""
     owners = {}
     for report in reports.values():
         for row in report.get("upstreams", {}).values():
@@ -106,8 +113,8 @@
     return owners
 
 
-def _add_rest(amounts: dict[str, int], rest: int) -> None:
-    """Adds what no instance of this interval accounts for."""
-    if rest:
+def _add_unattributed(amounts: dict[str, int], unattributed_micro: int) -> None:
+    """Charges the amount that no instance of this interval accounts for."""
+    if unattributed_micro:
         account = f"idle/{charges.UNOWNED}"
-        amounts[account] = amounts.get(account, 0) + rest
+        amounts[account] = amounts.get(account, 0) + unattributed_micro
--- a/src/_arbutuswalk/control/platform.py
+++ b/src/_arbutuswalk/control/platform_client.py
@@ -1,15 +1,15 @@
-"""Client of the platform's API."""
+"""Client of the platform's HTTP API."""
 
 import dataclasses
 import importlib
 from typing import Any
 
-TIMEOUT_S = 5.0
+CALL_TIMEOUT_S = 5.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The platform refused."""
+    """The platform answered with an error status."""
 
     status: int
     reason: str
@@ -22,36 +22,36 @@
     reason: str
 
 
-class Platform:
-    """Notices and bills at one address."""
+class PlatformClient:
+    """Reads reclaim notices and bills from the platform at one address."""
 
     def __init__(self, *, address: str):
-        self.base = f"http://{address}/v1"
+        self.base_url = f"http://{address}/v1"
         self.session: Any = None
 
-    async def notices(self, since: int) -> list | Refused | NoAnswer:
-        """Returns reclaim notices from number ``since`` on."""
-        return await self._call("GET", f"/notices?since={since}")
+    async def notices(self, first: int) -> list | Refused | NoAnswer:
+        """Returns the reclaim notices from number ``first`` on."""
+        return await self._call("GET", f"/notices?since={first}")
 
     async def bill(self) -> dict | Refused | NoAnswer:
-        """Returns micro-units billed so far by instance."""
+        """Returns the micro-units billed so far, by instance."""
         return await self._call("GET", "/bill")
 
     async def close(self) -> None:
-        """Closes connections."""
+        """Closes the HTTP session."""
         if self.session is not None:
             await self.session.close()
 
     async def _call(self, method: str, path: str, body: Any = None) -> Any:
-        # Importing it takes a quarter of a second, which would delay the start
-        # of every control process, also of those that never call.
+        # Importing aiohttp takes 0.25 s. A top-level import would delay the
+        # start of every control process, even if it never calls the platform.
         aiohttp = importlib.import_module("aiohttp")
         if self.session is None:
-            timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+            timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
             self.session = aiohttp.ClientSession(timeout=timeout)
         try:
             async with self.session.request(
-                method, self.base + path, json=body
+                method, self.base_url + path, json=body
             ) as response:
                 if response.status >= 400:
                     reason = (await response.read())[:200].decode(
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -1,4 +1,4 @@
-"""A control process: a member of the group, its systems, and its fronts."""
+"""A control process: a group member, the leader's tasks and its interfaces."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -9,26 +9,26 @@
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import events
 from _arbutuswalk.base import process
+from _arbutuswalk.control import endpoint_cache
 from _arbutuswalk.control import hub as hubs
+from _arbutuswalk.control import leader_tasks
 from _arbutuswalk.control import member as members
-from _arbutuswalk.control import remembered
 from _arbutuswalk.control import replicated
 from _arbutuswalk.control import service
-from _arbutuswalk.control import systems
 from _arbutuswalk.routing import directory
 from _arbutuswalk.storage import errors
 from _arbutuswalk.wire import link
 
 EXIT_STORAGE = 3
-EXPIRE_S = 1.0
-HEARTBEAT_S = 1.0
-"""Interval of endpoints' heartbeats where the settings name none."""
-SAVE_S = 1.0
-"""Pause between two saves of the directory of endpoints."""
+EXPIRE_INTERVAL_S = 1.0
+DEFAULT_HEARTBEAT_S = 1.0
+"""Interval of endpoint heartbeats if the settings do not specify one."""
+SAVE_INTERVAL_S = 1.0
+"""Interval at which a changed directory of endpoints is saved."""
 
 
 class Parts(NamedTuple):
-    """What a front of a control process works with."""
+    """Components of a control process that its interfaces use."""
 
     name: str
     member: members.Member
@@ -38,48 +38,63 @@
 
 Close = Callable[[], Awaitable[None]]
 Front = Callable[[Parts], Awaitable[Close]]
-"""Starts a further interface of the process; returns how to close it."""
+"""Starts an additional interface; returns the function that closes it."""
 
 
 async def run(
     values: dict[str, Any],
-    core: replicated.Replicated,
+    durable_replica: replicated.Replicated,
     front: Front | None = None,
 ) -> int:
     """Runs the process until drained; returns its exit code."""
-    failure = core.recover(clock.monotonic())
+    failure = durable_replica.recover(clock.monotonic())
     if failure is not None:
         events.warn(events.Event.STORAGE_FAILED, errors.describe(failure))
         return EXIT_STORAGE
-    member = members.Member(core=core)
+    member = members.Member(durable_replica=durable_replica)
     hub = hubs.Hub(member=member)
-    remembered_ones = remembered.load(values["data"])
-    for said in remembered_ones:
-        hub.take(said)
-    serving = service.Service(member=member, name=values["id"], hub=hub)
-    server = link.LinkServer(address=values["address"], handler=serving.handle)
+    restored = endpoint_cache.load(values["data"])
+    for endpoint in restored:
+        hub.apply_announcement(endpoint)
+    request_service = service.Service(member=member, name=values["id"], hub=hub)
+    server = link.LinkServer(
+        address=values["address"], handler=request_service.handle
+    )
     await server.start()
     stop = asyncio.Event()
-    process.on_signals(drain=stop.set, dump=serving.dump)
-    parts = Parts(values["id"], member, serving, hub)
+    process.on_signals(drain=stop.set, dump=request_service.dump)
+    parts = Parts(values["id"], member, request_service, hub)
     close_front = await front(parts) if front is not None else None
     _log_start(values)
-    leader = systems.Systems(service=serving, values=values)
-    serving.extra_dump = leader.dump
-    running = asyncio.ensure_future(member.run())
-    deciding = asyncio.ensure_future(leader.run())
-    expiring = asyncio.ensure_future(_expire(hub))
-    telling = asyncio.ensure_future(_tell(parts))
-    saving = asyncio.ensure_future(_remember(hub, values, remembered_ones))
-    stopping = asyncio.ensure_future(stop.wait())
-    await asyncio.wait((running, stopping), return_when=asyncio.FIRST_COMPLETED)
-    tasks = (running, deciding, expiring, telling, saving, stopping)
+    leader_runner = leader_tasks.LeaderTasks(
+        service=request_service, values=values
+    )
+    request_service.extra_dump = leader_runner.dump
+    member_task = asyncio.ensure_future(member.run())
+    leader_task = asyncio.ensure_future(leader_runner.run())
+    expire_task = asyncio.ensure_future(_expire(hub))
+    notify_task = asyncio.ensure_future(_notify_on_change(parts))
+    cache_task = asyncio.ensure_future(
+        _maintain_endpoint_cache(hub, values, restored)
+    )
+    stop_task = asyncio.ensure_future(stop.wait())
+    await asyncio.wait(
+        (member_task, stop_task), return_when=asyncio.FIRST_COMPLETED
+    )
+    tasks = (
+        member_task,
+        leader_task,
+        expire_task,
+        notify_task,
+        cache_task,
+        stop_task,
+    )
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
     if close_front is not None:
         await close_front()
-    await leader.close()
+    await leader_runner.close()
     await server.stop()
     await member.stop()
     events.log(events.Event.PROCESS_STOPPED, "control", values["id"])
@@ -88,41 +103,41 @@
 
 async def _expire(hub: hubs.Hub) -> None:
     while True:
-        await asyncio.sleep(EXPIRE_S)
+        await asyncio.sleep(EXPIRE_INTERVAL_S)
         hub.expire()
 
 
-async def _remember(
-    hub: hubs.Hub, values: dict[str, Any], read_back: list[directory.Endpoint]
+async def _maintain_endpoint_cache(
+    hub: hubs.Hub, values: dict[str, Any], restored: list[directory.Endpoint]
 ) -> None:
-    """Drops what was read back and not heard, then saves what changes."""
-    heartbeat_s = values.get("endpoint_heartbeat_s", HEARTBEAT_S)
-    await asyncio.sleep(remembered.TRUSTED_HEARTBEATS * heartbeat_s)
-    for name in remembered.unheard(hub.directory, read_back):
-        hub.forget(name)
-    saved = -1
+    """Removes unconfirmed restored endpoints, then saves every change."""
+    heartbeat_s = values.get("endpoint_heartbeat_s", DEFAULT_HEARTBEAT_S)
+    await asyncio.sleep(endpoint_cache.UNCONFIRMED_HEARTBEATS * heartbeat_s)
+    for name in endpoint_cache.unconfirmed(hub.directory, restored):
+        hub.drop(name)
+    saved_revision = -1
     loop = asyncio.get_running_loop()
     while True:
-        news = max(
+        latest_revision = max(
             (row.news_revision for row in hub.directory.rows.values()),
             default=0,
         )
-        if news != saved:
+        if latest_revision != saved_revision:
             failure = await loop.run_in_executor(
-                None, remembered.save, values["data"], hub.directory
+                None, endpoint_cache.save, values["data"], hub.directory
             )
             if failure is not None:
                 events.record(events.Event.DISK_REFUSED, failure)
-            saved = news
-        await asyncio.sleep(SAVE_S)
+            saved_revision = latest_revision
+        await asyncio.sleep(SAVE_INTERVAL_S)
 
 
-async def _tell(parts: Parts) -> None:
-    """Tells entries when the tables or the leader changed."""
+async def _notify_on_change(parts: Parts) -> None:
+    """Wakes the entries' watches when the tables or the role change."""
     while True:
         changed = parts.member.changed
         await changed.wait()
-        parts.hub.wake()
+        parts.hub.notify_watches()
 
 
 def _log_start(values: dict[str, Any]) -> None:
--- a/src/_arbutuswalk/control/queries.py
+++ b/src/_arbutuswalk/control/queries.py
@@ -1,4 +1,4 @@
-"""What operators ask of the parts that relayed requests go by."""
+"""Queries about routes, endpoints, rollouts and usage."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,8 +8,10 @@
 from _arbutuswalk.state import tables as rows
 
 
-def make(tables: rows.Tables, hub: hubs.Hub) -> dict[str, Callable[[str], Any]]:
-    """Returns the answer to each query, by its name."""
+def make_queries(
+    tables: rows.Tables, hub: hubs.Hub
+) -> dict[str, Callable[[str], Any]]:
+    """Returns the function that answers each query, by query name."""
     return {
         "published": lambda _: _published(tables),
         "routes": lambda _: _routes(tables),
@@ -27,7 +29,7 @@
 
 
 def _routes(tables: rows.Tables) -> dict[str, Any]:
-    """Returns routes without the workspaces, whose keys are secret."""
+    """Returns the routes without the workspaces, whose keys are secret."""
     if tables.routes is None:
         return {"version": 0, "routes": []}
     config = routeconfig.from_json(tables.routes)
--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -1,8 +1,8 @@
-"""One replica with its disk and its tables, without any I/O of its own timing.
+"""One replica with its write-ahead log and tables, without an event loop.
 
-The process drives it from asyncio; the fuzzers drive the same code on a fake
-folder, network and clock. A round is: ``step``, ``take``, send ``early``,
-``persist``, ``saved``, send ``late``, ``apply``.
+The process drives it from asyncio; the fuzz tests drive the same code on a
+fake folder, network and clock. A round is: ``step``, ``take``, send ``early``,
+``persist``, ``saved``, send ``late``, ``apply_next``.
 """
 
 import random
@@ -27,16 +27,16 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 SNAPSHOT_EVERY = 2000
-"""Entries between two snapshots; equal on all members."""
+"""Log entries between two snapshots; equal on all members."""
 
 
 class Identity(NamedTuple):
-    """Who a member is and whom it founds the group with.
+    """A member's address and the founding members of its group.
 
     Attributes:
-        address: ``IP:port`` it listens on.
-        peers: Addresses of all members that found the group, own included.
-        target_voters: How many voters the group should have.
+        address: ``IP:port`` that the member listens on.
+        peers: Addresses of all founding members, including its own.
+        target_voters: Number of voters that the group should have.
     """
 
     address: str
@@ -50,7 +50,7 @@
     Attributes:
         index: Its index.
         term: Its term.
-        outcome: Outcome of its command, None for entries of the log's own.
+        outcome: Outcome of its command, None for internal log entries.
     """
 
     index: int
@@ -63,12 +63,12 @@
 
     Attributes:
         data: The data folder.
-        wal: The log on it.
+        wal: The write-ahead log in that folder.
         replica: The replica, set by ``recover``.
         tables: State after all applied entries.
         applied: Index of the last applied entry.
-        snapshot_every: Entries between two snapshots.
-        counts: Entries, syncs and messages, for the dump.
+        snapshot_every: Log entries between two snapshots.
+        counts: Number of entries, syncs and messages, for the dump.
     """
 
     def __init__(
@@ -93,17 +93,17 @@
         self.counts = {"entries": 0, "syncs": 0, "messages": 0}
 
     def recover(self, now: float) -> errors.StorageError | None:
-        """Locks the folder and rebuilds state from it."""
+        """Locks the data folder and rebuilds the state from it."""
         failure = self.data.open()
         if failure is not None:
             return failure
-        found = self.wal.recover()
-        if isinstance(found, errors.StorageError):
-            return found
+        recovered = self.wal.recover()
+        if isinstance(recovered, errors.StorageError):
+            return recovered
         member = self._member_id()
         if isinstance(member, errors.StorageError):
             return member
-        log = self._rebuild(found)
+        log = self._rebuild(recovered)
         self.replica = replicas.Replica(
             member=member,
             address=self.identity.address,
@@ -112,19 +112,19 @@
             now=now,
             target_voters=self.identity.target_voters,
             peers=self.identity.peers,
-            vote=found.vote,
+            vote=recovered.vote,
             log=log,
-            commit=found.commit,
+            commit=recovered.commit,
         )
-        if found.snapshot is not None:
-            self.replica.snapshots[log.base_index] = found.snapshot.state
+        if recovered.snapshot is not None:
+            self.replica.snapshots[log.base_index] = recovered.snapshot.state
         return None
 
-    def _rebuild(self, found: wal.Recovered) -> raftlog.RaftLog:
+    def _rebuild(self, recovered: wal.Recovered) -> raftlog.RaftLog:
         members = types.Members()
         index = term = 0
-        if found.snapshot is not None:
-            index, term, packed = found.snapshot
+        if recovered.snapshot is not None:
+            index, term, packed = recovered.snapshot
             members, state = snapshot.unpack(packed)
             self.tables = machine.load(state)
             self.applied = index
@@ -134,16 +134,16 @@
             base_members=members,
             entries=[
                 ttypes.Entry(term=entry.term, command=entry.command)
-                for entry in found.entries
+                for entry in recovered.entries
             ],
         )
 
     def _member_id(self) -> str | errors.StorageError:
-        """Returns the folder's member id, drawn when it is first used."""
+        """Returns the member id in the folder, generated on first use."""
         if wal.IDENTITY_NAME in self.data.names():
             return self.data.read(wal.IDENTITY_NAME).decode()
-        drawn = uuid.UUID(int=self.rng.getrandbits(128)).hex[:8]
-        member = f"{self.identity.address}/{drawn}"
+        suffix = uuid.UUID(int=self.rng.getrandbits(128)).hex[:8]
+        member = f"{self.identity.address}/{suffix}"
         failure = self.data.replace(wal.IDENTITY_NAME, member.encode())
         return failure or member
 
@@ -153,43 +153,44 @@
         return self.replica.role is types.Role.LEADER
 
     def step(self, messages: list[object], now: float) -> None:
-        """Takes messages from other members, then lets time pass."""
+        """Processes messages from other members, then the timers."""
         for message in messages:
             step.receive(self.replica, message, now)
         self.counts["messages"] += len(messages)
         step.tick(self.replica, now)
 
     def propose(self, command: bytes, now: float, at_ms: int) -> int | None:
-        """Appends an encoded command; None unless this member may.
+        """Appends an encoded command to the log.
 
         Returns:
-            The index at which it is committed if the term stays the same.
+            The index at which it commits if the term does not change, or None
+            if this member may not propose commands.
         """
-        may = membership.accepts_commands(self.replica)
-        if not self.is_leader or not may:
+        accepts = membership.accepts_commands(self.replica)
+        if not self.is_leader or not accepts:
             return None
         payload = types.COMMAND + machine.stamp_encoded(command, at_ms)
         return replication.propose(self.replica, payload, now)
 
     def take(self) -> types.Ready:
-        """Returns the work of this round."""
+        """Returns the messages and the state to persist in this round."""
         return replicas.take_ready(self.replica)
 
     def persist(self, ready: types.Ready) -> errors.StorageError | None:
-        """Makes a round durable; may run off the event loop."""
+        """Makes a round durable; may run outside the event loop's thread."""
         if ready.snapshot is not None:
             failure = self.wal.save_snapshot(ready.snapshot)
             if failure is not None:
                 return failure
-        written = (ready.vote, ready.commit)
-        if written == (None, None) and not ready.entries:
+        hard_state = (ready.vote, ready.commit)
+        if hard_state == (None, None) and not ready.entries:
             return None
         self.counts["syncs"] += 1
         self.counts["entries"] += len(ready.entries)
         return self.wal.write(ready.vote, ready.entries, ready.commit)
 
     def saved(self, ready: types.Ready) -> None:
-        """Notes that a round is durable."""
+        """Records that a round is durable."""
         if ready.snapshot is not None:
             _, state = snapshot.unpack(ready.snapshot.state)
             self.tables = machine.load(state)
@@ -217,7 +218,7 @@
         return Applied(self.applied, entry.term, outcome)
 
     def due_snapshot(self) -> wal.Snapshot | None:
-        """Returns a snapshot to save, at the indices all members share."""
+        """Returns a snapshot to save, at indices equal on all members."""
         index = self.applied
         if index % self.snapshot_every or index <= self.replica.log.base_index:
             return None
@@ -225,6 +226,6 @@
         packed = snapshot.pack(members, machine.dump(self.tables))
         return wal.Snapshot(index, self.replica.log.term_at(index), packed)
 
-    def keep_snapshot(self, made: wal.Snapshot) -> None:
-        """Serves a snapshot that was saved and forgets what it covers."""
-        transfer.keep(self.replica, made.index, made.state)
+    def keep_snapshot(self, saved_snapshot: wal.Snapshot) -> None:
+        """Serves a saved snapshot and drops the log entries it covers."""
+        transfer.keep(self.replica, saved_snapshot.index, saved_snapshot.state)
--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -1,4 +1,4 @@
-"""Steps rollouts while this process may decide alone."""
+"""Advances rollouts while this process holds the leader lease."""
 
 import asyncio
 from typing import Any
@@ -13,16 +13,16 @@
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import tables as rows
 
-TICK_S = 0.2
-SUBMIT_S = 1.0
+TICK_INTERVAL_S = 0.2
+SUBMIT_TIMEOUT_S = 1.0
 
 
-class Trials:
-    """Evidence gathered in one term.
+class TermTrials:
+    """Trials of the running rollouts, gathered in one term.
 
     Attributes:
         term: That term.
-        by_rollout: Trial by upstream, target and start.
+        by_rollout: Trial by upstream, target version and start time.
     """
 
     def __init__(self, *, term: int):
@@ -31,30 +31,30 @@
 
 
 async def run(parts: process.Parts, canary_share: float) -> None:
-    """Steps rollouts whenever this process may decide alone.
+    """Advances rollouts while this process holds the leader lease.
 
     Args:
-        parts: The process.
-        canary_share: Part of all requests until its deadline that a version
-            which turns out to be bad may get.
+        parts: Components of the process.
+        canary_share: Largest share of all requests until the rollout's
+            deadline that a faulty version may receive.
     """
-    trials = Trials(term=0)
+    trials = TermTrials(term=0)
     while True:
-        await asyncio.sleep(TICK_S)
+        await asyncio.sleep(TICK_INTERVAL_S)
         member = parts.member
         if not member.is_current:
             continue
         if trials.term != member.replica.term:
-            trials = Trials(term=member.replica.term)
+            trials = TermTrials(term=member.replica.term)
         try:
             await _tick(parts, canary_share, trials)
         except Exception as error:  # noqa: BLE001
-            # A faulty rollout must not end the others for good.
+            # An error in one rollout must not end the loop.
             events.warn(events.Event.TASK_FAILED, "rollouts", repr(error))
 
 
 async def _tick(
-    parts: process.Parts, canary_share: float, trials: Trials
+    parts: process.Parts, canary_share: float, trials: TermTrials
 ) -> None:
     for upstream, row in list(parts.member.tables.rollouts.items()):
         if row.state != rollouts.GROWING:
@@ -67,7 +67,7 @@
 def _decide(
     parts: process.Parts,
     canary_share: float,
-    trials: Trials,
+    trials: TermTrials,
     upstream: str,
     row: rows.RolloutRow,
 ) -> commands.StepRollout | None:
@@ -76,8 +76,8 @@
     key = (upstream, row.target, row.started_ms)
     trial = trials.by_rollout.get(key)
     if trial is None:
-        passed_s = (_now_ms(parts) - row.started_ms) / 1000
-        began_at = now - max(0.0, passed_s)
+        elapsed_s = (_now_ms(parts) - row.started_ms) / 1000
+        began_at = now - max(0.0, elapsed_s)
         trial = rolloutplan.Trial(new=new, old=old, began_at=began_at)
         trials.by_rollout[key] = trial
     return rolloutplan.decide(
@@ -86,14 +86,16 @@
         trial,
         new=new,
         old=old,
-        present=_is_present(parts, upstream, row.target),
+        present=_has_ready_endpoint(parts, upstream, row.target),
         canary_share=canary_share,
         now=now,
     )
 
 
 async def _submit(parts: process.Parts, step: commands.StepRollout) -> None:
-    outcome = await leader.submit(parts.service, step, timeout_s=SUBMIT_S)
+    outcome = await leader.submit(
+        parts.service, step, timeout_s=SUBMIT_TIMEOUT_S
+    )
     events.record(
         events.Event.ROLLOUT_STEPPED,
         step.upstream,
@@ -107,7 +109,7 @@
 def sum_outcomes(
     reports: list[dict[str, Any]], upstream: str, target: str
 ) -> tuple[evidence.Sums, evidence.Sums]:
-    """Returns the sums of the target and of all other versions."""
+    """Returns outcome sums of the target and of all other versions."""
     new = old = evidence.Sums()
     for report in reports:
         for name, version, *counts in report.get("outcomes", []):
@@ -120,7 +122,9 @@
     return new, old
 
 
-def _is_present(parts: process.Parts, upstream: str, version: str) -> bool:
+def _has_ready_endpoint(
+    parts: process.Parts, upstream: str, version: str
+) -> bool:
     return any(
         row.endpoint.upstream == upstream
         and row.endpoint.version == version
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -1,4 +1,4 @@
-"""Gathers what the fleet's decisions need, for every upstream that scales."""
+"""Collects the input of scaling decisions for every upstream that scales."""
 
 from _arbutuswalk.control import process
 from _arbutuswalk.routing import directory
@@ -6,41 +6,42 @@
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import routeconfig
 
-SILENT_S = 4.0
-"""Silence after which an endpoint does not count as serving: three missed
-heartbeats of 1.2 s."""
+ENDPOINT_SILENCE_TIMEOUT_S = 4.0
+"""Time without an announcement after which an endpoint no longer counts as
+serving: three missed heartbeats of 1.2 s."""
 
 
 class Fleets:
-    """Fleet of each upstream, as long as this process holds the duty.
+    """Fleet of each upstream, kept while this process holds the duty.
 
     Attributes:
         by_upstream: Fleet by upstream name.
-        config: Configuration the scaling comes from.
-        reclaimed: Leaving endpoints that were noted, by id and start.
+        routes_version: Version of the route configuration in ``config``.
+        reclaimed: Leaving endpoints already recorded, by id and start time.
+        config: Route configuration that defines the scaling.
     """
 
     def __init__(self):
         self.by_upstream: dict[str, fleetplan.Fleet] = {}
-        self.version = 0
+        self.routes_version = 0
         self.reclaimed: set[tuple[str, int]] = set()
         self.config: routeconfig.RouteConfig | None = None
 
     def fleet(self, upstream: str) -> fleetplan.Fleet:
-        """Returns an upstream's fleet, empty at first."""
+        """Returns an upstream's fleet, creating an empty one on first use."""
         return self.by_upstream.setdefault(upstream, fleetplan.Fleet())
 
 
-def decide(
+def decide_orders(
     parts: process.Parts, fleets: Fleets
 ) -> list[tuple[str, fleetplan.Order]]:
-    """Returns the orders that are due, with the upstream of each."""
+    """Returns the orders to place now, each with its upstream."""
     now = parts.member.now()
     loads = parts.hub.loads()
-    due = []
+    due_orders = []
     for upstream in _scaling_upstreams(parts, fleets):
-        if _is_rolling(parts, upstream.name):
-            # Two versions run beside each other; neither is a surplus.
+        if _is_rolling_out(parts, upstream.name):
+            # Two versions run in parallel; neither is surplus.
             continue
         rows = [
             row
@@ -48,46 +49,47 @@
             if row.endpoint.upstream == upstream.name
         ]
         fleet = fleets.fleet(upstream.name)
-        _note_reclaims(fleet, fleets.reclaimed, rows, now)
+        _record_reclaims(fleet, fleets.reclaimed, rows, now)
         running = sum(loads.get(row.endpoint.id, (0, 0))[0] for row in rows)
         fleetplan.note_load(fleet, running, now)
         orders = fleetplan.decide(
-            fleet, upstream.scaling, _ready(rows, now), now
+            fleet, upstream.scaling, _count_ready(rows, now), now
         )
-        due += [(upstream.name, order) for order in orders]
-    return due
+        due_orders += [(upstream.name, order) for order in orders]
+    return due_orders
 
 
-def _note_reclaims(
+def _record_reclaims(
     fleet: fleetplan.Fleet,
     reclaimed: set[tuple[str, int]],
     rows: list[directory.Row],
     now: float,
 ) -> None:
-    """Notes domains whose endpoints leave without an order of ours.
+    """Records failure domains whose endpoints are being reclaimed.
 
-    Where fewer were ordered than there are, they leave for that.
+    If no more endpoints were ordered than remain ready, the endpoints leave
+    because of that order and not because of a reclaim.
     """
     for row in rows:
-        said = row.endpoint
-        key = (said.id, said.born_ms)
-        if not said.reclaimable or said.state == directory.READY:
+        endpoint = row.endpoint
+        key = (endpoint.id, endpoint.born_ms)
+        if not endpoint.reclaimable or endpoint.state == directory.READY:
             continue
         if key in reclaimed:
             continue
         reclaimed.add(key)
-        placed = fleet.placed.get((said.domain, True))
+        placed = fleet.placed.get((endpoint.domain, True))
         staying = sum(
-            other.endpoint.domain == said.domain
+            other.endpoint.domain == endpoint.domain
             and other.endpoint.reclaimable
             and other.endpoint.state == directory.READY
             for other in rows
         )
         if placed is not None and placed.count > staying:
-            fleetplan.note_reclaim(fleet, said.domain, now)
+            fleetplan.note_reclaim(fleet, endpoint.domain, now)
 
 
-def _is_rolling(parts: process.Parts, upstream: str) -> bool:
+def _is_rolling_out(parts: process.Parts, upstream: str) -> bool:
     row = parts.member.tables.rollouts.get(upstream)
     return row is not None and row.state == rollouts.GROWING
 
@@ -98,19 +100,26 @@
     tables = parts.member.tables
     if tables.routes is None:
         return []
-    if fleets.version != tables.routes_version:
-        # Tables hold tuples until a restart turns them into lists.
+    if fleets.routes_version != tables.routes_version:
+        # Tables hold tuples until a restart, and lists afterwards.
         fleets.config = routeconfig.from_json(tables.routes)
-        fleets.version = tables.routes_version
-    return [each for each in fleets.config.upstreams if each.scaling]
+        fleets.routes_version = tables.routes_version
+    return [
+        upstream for upstream in fleets.config.upstreams if upstream.scaling
+    ]
 
 
-def _ready(rows: list[directory.Row], now: float) -> dict[fleetplan.Key, int]:
+def _count_ready(
+    rows: list[directory.Row], now: float
+) -> dict[fleetplan.Key, int]:
     counts: dict[fleetplan.Key, int] = {}
     for row in rows:
-        said = row.endpoint
-        if said.state != directory.READY or now - row.heard_at > SILENT_S:
+        endpoint = row.endpoint
+        if (
+            endpoint.state != directory.READY
+            or now - row.heard_at > ENDPOINT_SILENCE_TIMEOUT_S
+        ):
             continue
-        key = (said.domain, said.reclaimable)
+        key = (endpoint.domain, endpoint.reclaimable)
         counts[key] = counts.get(key, 0) + 1
     return counts
--- a/src/_arbutuswalk/control/service.py
+++ b/src/_arbutuswalk/control/service.py
@@ -1,4 +1,4 @@
-"""Answers what entries and operators ask of a control process."""
+"""Handles the requests of entries and operators to a control process."""
 
 import asyncio
 import contextlib
@@ -21,8 +21,8 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 SUBMIT_TIMEOUT_S = 2.0
-SYNC_WAIT_S = 0.5
-READ_WAIT_S = 1.0
+MAX_SYNC_WAIT_S = 0.5
+MAX_READ_WAIT_S = 1.0
 OK = ttypes.Status.OK
 
 
@@ -30,10 +30,12 @@
     """Request handling of one control process.
 
     Attributes:
-        member: The member behind it.
-        leases: Grants, renewed whenever the role changes.
+        member: The group member that processes the requests.
+        leases: Leases of entries, reset whenever the term changes.
         name: Process id for the dump.
         hub: Directory of endpoints and entries.
+        term: Term that the leases belong to.
+        extra_dump: Returns further values for the dump.
     """
 
     def __init__(
@@ -42,18 +44,18 @@
         self.member = member
         self.name = name
         self.hub = hub or hubs.Hub(member=member)
-        self.leases = leases.Leases(since=member.now())
+        self.leases = leases.Leases(leader_since=member.now())
         self.term = -1
         self.extra_dump = dict
-        member.on_role = self._on_role
+        member.on_role_change = self._on_role_change
 
-    def _on_role(self) -> None:
+    def _on_role_change(self) -> None:
         if self.term != self.member.replica.term:
             self.term = self.member.replica.term
-            self.leases = leases.Leases(since=self.member.now())
+            self.leases = leases.Leases(leader_since=self.member.now())
 
     async def handle(self, message: object) -> object | None:
-        """Takes one message from a link."""
+        """Handles one message from a link and returns the reply, if any."""
         if isinstance(message, ttypes.Submit):
             return await self._submit(message)
         if isinstance(message, ttypes.Sync):
@@ -65,8 +67,10 @@
         if isinstance(message, ttypes.RoutesRequest):
             return self.hub.routes_part(message)
         if isinstance(message, ttypes.UpstreamNews):
-            for said in message.announcements:
-                self.hub.take(directory.from_json(json.loads(said)))
+            for announcement in message.announcements:
+                self.hub.apply_announcement(
+                    directory.from_json(json.loads(announcement))
+                )
             return None
         if isinstance(message, ttypes.Dump):
             return ttypes.DumpReply(state=json.dumps(self.dump()).encode())
@@ -75,7 +79,7 @@
 
     async def _submit(self, message: ttypes.Submit) -> ttypes.SubmitReply:
         command = commands.decode(message.command)
-        reason = _refusal(command)
+        reason = _rejection_reason(command)
         if reason:
             return ttypes.SubmitReply(
                 status=ttypes.Status.INVALID, reason=reason
@@ -96,22 +100,23 @@
         return ttypes.SubmitReply(status=OK, result=outcomes.encode(outcome))
 
     async def _sync(self, message: ttypes.Sync) -> ttypes.SyncReply:
-        """Stamps an entry's lease and sends it what changed.
+        """Grants an entry a lease and returns the parts of the view it lacks.
 
-        Waits a little for a change, so that changes are pushed; the lease
-        runs from when the entry asked, however long the answer took.
+        Waits a short time for a change, so that changes are pushed. The entry
+        counts its lease from when it sent the request, however long the reply
+        takes.
         """
         member = self.member
-        refusal = self._sync_refusal(message)
-        if refusal is not None:
-            return refusal
-        self.leases.note(message, member.now())
-        if not self._news_for(message):
+        rejection = self._sync_rejection(message)
+        if rejection is not None:
+            return rejection
+        self.leases.record_sync(message, member.now())
+        if not self._has_update_for(message):
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(member.changed.wait(), SYNC_WAIT_S)
-        refusal = self._sync_refusal(message)
-        if refusal is not None:
-            return refusal
+                await asyncio.wait_for(member.changed.wait(), MAX_SYNC_WAIT_S)
+        rejection = self._sync_rejection(message)
+        if rejection is not None:
+            return rejection
         self.leases.grant(message, member.now())
         parts = view.parts_since(member.tables, message.view_version)
         return ttypes.SyncReply(
@@ -121,8 +126,8 @@
             view=json.dumps(parts).encode(),
         )
 
-    def _sync_refusal(self, message: ttypes.Sync) -> ttypes.SyncReply | None:
-        """Returns why no stamp can be given right now, or None."""
+    def _sync_rejection(self, message: ttypes.Sync) -> ttypes.SyncReply | None:
+        """Returns the reply if no lease can be granted now, else None."""
         member = self.member
         if not member.is_leader:
             return ttypes.SyncReply(
@@ -139,12 +144,12 @@
             return _invalid_sync("gone; register as a new incarnation")
         return None
 
-    def _news_for(self, message: ttypes.Sync) -> bool:
+    def _has_update_for(self, message: ttypes.Sync) -> bool:
         tables = self.member.tables
         return view.version(tables) > message.view_version
 
     async def _read(self, message: ttypes.Read) -> ttypes.ReadReply:
-        if not await self._becomes_current():
+        if not await self._wait_until_current():
             if not self.member.is_leader:
                 leader = self.member.leader_address()
                 return ttypes.ReadReply(
@@ -162,12 +167,12 @@
         result = query(message.argument or "")
         return ttypes.ReadReply(status=OK, result=json.dumps(result).encode())
 
-    async def _becomes_current(self) -> bool:
-        deadline = self.member.now() + READ_WAIT_S
+    async def _wait_until_current(self) -> bool:
+        deadline = self.member.now() + MAX_READ_WAIT_S
         while not self.member.is_current:
             if not self.member.is_leader or self.member.now() > deadline:
                 return False
-            await asyncio.sleep(members.TICK_S)
+            await asyncio.sleep(members.TICK_INTERVAL_S)
         return True
 
     def _queries(self) -> dict[str, Any]:
@@ -179,15 +184,15 @@
             "entries": self._entries,
             "inventory": lambda _: self.member.tables.inventory,
             "call": self._call,
-            "alone": self._alone,
-            **queries.make(self.member.tables, self.hub),
-            "replace": self._replace,
+            "alone": self._is_idle,
+            **queries.make_queries(self.member.tables, self.hub),
+            "replace": self._order_replacement,
         }
 
     def _status(self, _: str) -> dict[str, Any]:
         member, tables = self.member, self.member.tables
         log = member.replica.log
-        live = {
+        present = {
             name: row._asdict()
             for name, row in tables.instances.items()
             if row.state != "gone"
@@ -197,25 +202,27 @@
             "term": member.replica.term,
             "commit": member.replica.commit,
             "revision": tables.revision,
-            "behind": self.leases.behind(tables, tables.revision, member.now()),
+            "behind": self.leases.entries_behind(
+                tables, tables.revision, member.now()
+            ),
             "voters": [log.members.addresses[v] for v in log.members.voters],
             "voter_ids": list(log.members.voters),
             "learners": [
                 log.members.addresses[v] for v in log.members.learners
             ],
             "versions": tables.versions,
-            "instances": live,
+            "instances": present,
             "quarantined": len(tables.convicted),
             "history": [row._asdict() for row in tables.history[-10:]],
         }
 
     def _in_force(self, argument: str) -> dict[str, Any]:
         revision = int(argument) if argument.isdigit() else 0
-        late = self.leases.behind(
+        behind = self.leases.entries_behind(
             self.member.tables, revision, self.member.now()
         )
         accepted = self.member.tables.revision >= revision
-        return {"in_force": accepted and not late, "behind": late}
+        return {"in_force": accepted and not behind, "behind": behind}
 
     def _moves(self, _: str) -> dict[str, Any]:
         return {
@@ -242,12 +249,12 @@
         found = ledger.find(self.member.tables, workspace, key)
         return outcomes.to_json(found)
 
-    def _alone(self, argument: str) -> dict[str, Any]:
+    def _is_idle(self, argument: str) -> dict[str, Any]:
         tables = self.member.tables
-        return {"alone": self.leases.is_alone(tables, argument)}
+        return {"alone": self.leases.is_idle(tables, argument)}
 
-    def _replace(self, argument: str) -> dict[str, Any]:
-        """Orders the replacement of the voter at an address."""
+    def _order_replacement(self, argument: str) -> dict[str, Any]:
+        """Requests the replacement of the voter at an address."""
         replica = self.member.replica
         members = replica.log.members
         for voter in members.voters:
@@ -270,14 +277,14 @@
                 "term": replica.term,
                 "leader": replica.leader,
                 "commit": replica.commit,
-                "applied": member.core.applied,
+                "applied": member.durable_replica.applied,
                 "first": replica.log.base_index + 1,
                 "last": replica.log.last_index,
                 "durable": replica.durable_index,
                 "members": replica.log.members._asdict(),
                 "lease": member.holds_lease,
             },
-            "counts": member.core.counts,
+            "counts": member.durable_replica.counts,
             "grants": {
                 f"{entry}/{incarnation}": [grant.revision, grant.synced_at]
                 for (entry, incarnation), grant in self.leases.grants.items()
@@ -290,7 +297,7 @@
 def _dump_tables(member: members.Member) -> bytes:
     values = dict(vars(member.tables))
     values["calls"] = len(member.tables.calls)
-    # Both hold the workspaces' keys.
+    # Both contain the workspaces' keys.
     del values["routes"], values["routes_source"]
     return json.dumps(values).encode()
 
@@ -299,8 +306,8 @@
     return ttypes.SyncReply(status=ttypes.Status.INVALID, reason=reason)
 
 
-def _refusal(command: commands.Command | None) -> str:
-    """Returns why a command is refused before it is proposed."""
+def _rejection_reason(command: commands.Command | None) -> str:
+    """Returns why a command must not be proposed, or an empty string."""
     if command is None:
         return "unknown command"
     if not isinstance(command, commands.Apply):
--- a/src/_arbutuswalk/control/usage_reports.py
+++ b/src/_arbutuswalk/control/usage_reports.py
@@ -1,7 +1,7 @@
-"""Adds the entries' counts up and settles each window once.
+"""Sums the usage counts of all entries and settles each window once.
 
-A settlement is committed before it is first sent, so that every later holder
-sends exactly the same counts.
+A settlement is committed before it is first sent, so that every later duty
+holder sends exactly the same counts.
 """
 
 import statistics
@@ -11,94 +11,100 @@
 from _arbutuswalk.control import process
 from _arbutuswalk.state import commands
 
-SETTLE_AFTER_S = 3.0
-"""Time after a window's end at which its counts are settled: reachable
-entries report at least every half second, and those cut off for a short time
-get the rest to return."""
-SUBMIT_S = 1.5
-OLDEST_WINDOWS = 6
-"""Windows back that are still settled; older ones count as missed."""
+SETTLE_DELAY_S = 3.0
+"""Time after a window's end at which its counts are settled. Reachable entries
+report at least every 0.5 s; the rest of the delay lets entries that were
+briefly unreachable report too."""
+SUBMIT_TIMEOUT_S = 1.5
+MAX_WINDOWS_BACK = 6
+"""Number of most recent windows that are settled and sent; older ones count
+as missed."""
 
 
-class Reports:
-    """What this holder has done in its term.
+class SentReports:
+    """Usage reports that this process has sent in its term.
 
     Attributes:
-        sent: Windows that the platform has accepted from this holder.
+        window_s: Length of a window.
+        accepted_windows: Windows whose report the platform has accepted.
     """
 
     def __init__(self, *, window_s: float):
         self.window_s = window_s
-        self.sent: set[int] = set()
+        self.accepted_windows: set[int] = set()
 
-    def forget_sent(self) -> None:
-        """Forgets what was sent in a term that is over."""
-        self.sent = set()
+    def clear(self) -> None:
+        """Clears the accepted windows once the term has ended."""
+        self.accepted_windows = set()
 
 
-async def settle_due(
-    parts: process.Parts, reports: Reports, delay_s: float
+async def settle_due_windows(
+    parts: process.Parts, sent_reports: SentReports, report_delay_s: float
 ) -> None:
-    """Commits the counts of each window that ended long enough ago."""
+    """Commits the counts of each window whose settlement delay has passed."""
     settled = parts.member.tables.usage
-    now = true_time(parts)
-    wait_s = min(SETTLE_AFTER_S, delay_s / 2)
-    last = int((now - wait_s) // reports.window_s) - 1
-    known = _windows(parts)
-    for window in sorted(known):
-        if not last - OLDEST_WINDOWS < window <= last:
+    now = median_time(parts)
+    settle_delay_s = min(SETTLE_DELAY_S, report_delay_s / 2)
+    newest_due = int((now - settle_delay_s) // sent_reports.window_s) - 1
+    reported = _reported_windows(parts)
+    for window in sorted(reported):
+        if not newest_due - MAX_WINDOWS_BACK < window <= newest_due:
             continue
         if str(window) in settled:
             continue
-        counts = count(parts, window)
+        counts = sum_counts(parts, window)
         if counts:
             command = commands.SettleUsage(window, counts)
-            await leader.submit(parts.service, command, timeout_s=SUBMIT_S)
+            await leader.submit(
+                parts.service, command, timeout_s=SUBMIT_TIMEOUT_S
+            )
 
 
-def unsent(
-    parts: process.Parts, reports: Reports
+def unsent_windows(
+    parts: process.Parts, sent_reports: SentReports
 ) -> list[tuple[int, dict[str, int]]]:
-    """Returns settled windows that this holder has not sent yet."""
+    """Returns settled windows not yet accepted from this process."""
     newest = max(map(int, parts.member.tables.usage), default=0)
     return [
         (int(window), counts)
         for window, counts in sorted(parts.member.tables.usage.items())
-        if int(window) not in reports.sent
-        and int(window) > newest - OLDEST_WINDOWS
+        if int(window) not in sent_reports.accepted_windows
+        and int(window) > newest - MAX_WINDOWS_BACK
     ]
 
 
-def count(parts: process.Parts, window: int) -> dict[str, int]:
-    """Adds up a window's counts over all starts of all entries."""
+def sum_counts(parts: process.Parts, window: int) -> dict[str, int]:
+    """Sums a window's counts over all incarnations of all entries."""
     totals: dict[str, int] = {}
     for state in parts.hub.entries.values():
-        for name, number in _usage(state.report).get(str(window), {}).items():
+        for name, number in (
+            _usage_by_window(state.report).get(str(window), {}).items()
+        ):
             totals[name] = totals.get(name, 0) + number
     return totals
 
 
-def true_time(parts: process.Parts) -> float:
-    """Returns the time of day by the median clock of those that are reachable.
+def median_time(parts: process.Parts) -> float:
+    """Returns the median wall clock time of this process and reachable entries.
 
     A single clock may have stepped by seconds.
     """
-    own = parts.member.wall()
+    own_wall = parts.member.wall()
     offsets = [0.0]
-    for state in parts.hub.live_entries().values():
-        said = state.report.get("wall")
-        if isinstance(said, int | float):
-            offsets.append(said - parts.hub.wall_at(state))
-    return own + statistics.median(offsets)
+    for state in parts.hub.reachable_entries().values():
+        reported_wall = state.report.get("wall")
+        if isinstance(reported_wall, int | float):
+            offsets.append(reported_wall - parts.hub.wall_at_last_watch(state))
+    return own_wall + statistics.median(offsets)
 
 
-def _windows(parts: process.Parts) -> set[int]:
+def _reported_windows(parts: process.Parts) -> set[int]:
     return {
         int(window)
         for state in parts.hub.entries.values()
-        for window in _usage(state.report)
+        for window in _usage_by_window(state.report)
     }
 
 
-def _usage(report: dict[str, Any]) -> dict[str, dict[str, int]]:
+def _usage_by_window(report: dict[str, Any]) -> dict[str, dict[str, int]]:
     return report.get("usage", {})
--- a/testing/test_duties.py
+++ b/testing/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties by one holder, usage reports, the hub and remembered endpoints."""
+"""Duty holder, usage reports, service discovery and the endpoint cache."""
 
 import asyncio
 import os
@@ -10,9 +10,9 @@
 
 from _arbutuswalk.agreement import types
 from _arbutuswalk.control import duties
+from _arbutuswalk.control import endpoint_cache
 from _arbutuswalk.control import hub as hubs
 from _arbutuswalk.control import process
-from _arbutuswalk.control import remembered
 from _arbutuswalk.control import usage_reports
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import tables as rows
@@ -31,7 +31,7 @@
 
 
 class FakeMember:
-    """A member whose role and clocks a test sets."""
+    """A member whose role and clocks are set by the test."""
 
     def __init__(self):
         self.time = 100.0
@@ -51,7 +51,7 @@
         return self.wall_s
 
     def link_to(self, address):
-        raise AssertionError(f"nothing goes to {address}")
+        raise AssertionError(f"unexpected message to {address}")
 
 
 def make_parts():
@@ -70,40 +70,40 @@
     )
 
 
-class TestHolder:
-    def test_a_new_leader_waits_the_old_ones_lease_out(self):
+class TestDutyHolder:
+    def test_new_leader_waits_until_the_previous_lease_expires(self):
         parts = make_parts()
-        holder = duties.Holder(parts=parts, options=OPTIONS)
-        assert holder.follow_term()
+        holder = duties.DutyHolder(parts=parts, options=OPTIONS)
+        assert holder.update_term()
         assert not holder.may_act()
         parts.member.time += OPTIONS.lease_s
         assert not holder.may_act()
-        parts.member.time += duties.MARGIN_S + 0.01
+        parts.member.time += duties.IN_FLIGHT_MARGIN_S + 0.01
         assert holder.may_act()
 
-    def test_it_waits_again_when_it_leads_again(self):
+    def test_it_waits_again_after_reelection(self):
         parts = make_parts()
-        holder = duties.Holder(parts=parts, options=OPTIONS)
-        holder.follow_term()
+        holder = duties.DutyHolder(parts=parts, options=OPTIONS)
+        holder.update_term()
         parts.member.time += 10
         parts.member.is_leader = False
-        assert not holder.follow_term()
+        assert not holder.update_term()
         parts.member.is_leader = True
         parts.member.replica.term = 3
-        holder.follow_term()
+        holder.update_term()
         assert not holder.may_act()
 
-    def test_without_its_lease_it_does_nothing(self):
+    def test_it_may_not_act_without_the_leader_lease(self):
         parts = make_parts()
-        holder = duties.Holder(parts=parts, options=OPTIONS)
-        holder.follow_term()
+        holder = duties.DutyHolder(parts=parts, options=OPTIONS)
+        holder.update_term()
         parts.member.time += 10
         parts.member.is_current = False
         assert not holder.may_act()
 
 
 class TestUsageReports:
-    def test_counts_add_up_over_entries_and_their_starts(self):
+    def test_counts_are_summed_over_entries_and_incarnations(self):
         parts = make_parts()
         hub = parts.hub
         for message in (
@@ -111,60 +111,60 @@
             watch(hub, "e1", 2, usage={"7": {"a": 4, "b": 1}}),
             watch(hub, "e2", 1, usage={"7": {"a": 5}, "8": {"a": 9}}),
         ):
-            hub._note(message, 0)
-        assert usage_reports.count(parts, 7) == {"a": 12, "b": 1}
+            hub._record_watch(message, 0)
+        assert usage_reports.sum_counts(parts, 7) == {"a": 12, "b": 1}
 
     def test_settled_windows_are_sent_until_they_are_accepted(self):
         parts = make_parts()
-        reports = usage_reports.Reports(window_s=5.0)
+        reports = usage_reports.SentReports(window_s=5.0)
         parts.member.tables.usage = {"7": {"a": 1}, "8": {"a": 2}}
-        assert usage_reports.unsent(parts, reports) == [
+        assert usage_reports.unsent_windows(parts, reports) == [
             (7, {"a": 1}),
             (8, {"a": 2}),
         ]
-        reports.sent.add(7)
-        assert usage_reports.unsent(parts, reports) == [(8, {"a": 2})]
-        reports.forget_sent()
-        assert len(usage_reports.unsent(parts, reports)) == 2
+        reports.accepted_windows.add(7)
+        assert usage_reports.unsent_windows(parts, reports) == [(8, {"a": 2})]
+        reports.clear()
+        assert len(usage_reports.unsent_windows(parts, reports)) == 2
 
-    def test_one_clock_that_stepped_is_outvoted(self):
+    def test_median_ignores_one_clock_that_stepped(self):
         parts = make_parts()
         for number in range(4):
             wall = 1_000_000.0 + 0.01 * number
             message = watch(parts.hub, f"e{number}", wall=wall)
-            parts.hub._note(message, 0)
+            parts.hub._record_watch(message, 0)
         parts.member.wall_s += 2.0
-        assert usage_reports.true_time(parts) == pytest.approx(
+        assert usage_reports.median_time(parts) == pytest.approx(
             1_000_000.0, abs=0.1
         )
 
 
 class TestHub:
-    async def test_news_is_told_at_once(self):
+    async def test_an_update_is_returned_at_once(self):
         hub = make_parts().hub
-        hub.take(test_crashes.make_endpoint("a"))
+        hub.apply_announcement(test_crashes.make_endpoint("a"))
         reply = await hub.watch(watch(hub))
         news = packed.unpack(reply.news)
-        assert [each[0] for each in news["endpoints"]] == ["a"]
+        assert [endpoint[0] for endpoint in news["endpoints"]] == ["a"]
         assert reply.version == hub.directory.revision
 
-    async def test_a_waiting_watch_is_answered_by_a_change(self):
+    async def test_a_change_ends_a_waiting_watch(self):
         hub = make_parts().hub
         first = await hub.watch(watch(hub))
         waiting = asyncio.ensure_future(
             hub.watch(watch(hub, version=first.version))
         )
         await asyncio.sleep(0)
-        hub.take(test_crashes.make_endpoint("a"))
+        hub.apply_announcement(test_crashes.make_endpoint("a"))
         reply = await asyncio.wait_for(waiting, 10)
         assert packed.unpack(reply.news)["endpoints"]
 
-    def test_a_configuration_is_told_of_and_sent_in_parts(self, monkeypatch):
+    def test_a_configuration_is_announced_and_sent_in_parts(self, monkeypatch):
         monkeypatch.setattr(hubs, "ROUTES_PART_BYTES", 7)
         parts = make_parts()
         tables = parts.member.tables
         tables.routes_version, tables.routes = 4, {"version": 4, "routes": []}
-        assert parts.hub._news(0)["routes_version"] == 4
+        assert parts.hub._build_update(0)["routes_version"] == 4
         data = b""
         while True:
             request = ttypes.RoutesRequest(offset=len(data))
@@ -174,56 +174,59 @@
                 break
         assert packed.unpack(data) == tables.routes
 
-    async def test_a_watch_waits_once_it_was_told_of_a_version(self):
-        """Fetching takes a while; telling again would answer at once."""
+    async def test_a_watch_waits_once_a_version_was_announced(self):
+        """Guards against a busy loop of watches while a version is fetched.
+
+        If the version were announced again, each watch would end at once.
+        """
         parts = make_parts()
         parts.member.tables.routes_version = 4
         first = await parts.hub.watch(watch(parts.hub))
-        told = watch(parts.hub, version=first.version)
-        assert parts.hub._has_news(told, first.version)
-        told.routes_version = 4
-        assert not parts.hub._has_news(told, first.version)
+        announced = watch(parts.hub, version=first.version)
+        assert parts.hub._has_update(announced, first.version)
+        announced.routes_version = 4
+        assert not parts.hub._has_update(announced, first.version)
 
-    async def test_leaving_is_confirmed_once_every_entry_has_it(self):
+    async def test_waits_until_every_entry_knows_that_an_endpoint_leaves(self):
         parts = make_parts()
         hub = parts.hub
-        hub.take(test_crashes.make_endpoint("a"))
-        hub._note(watch(hub), hub.directory.revision)
-        hub.take(test_crashes.make_endpoint("a", state=directory.LEAVING))
+        hub.apply_announcement(test_crashes.make_endpoint("a"))
+        hub._record_watch(watch(hub), hub.directory.revision)
+        hub.apply_announcement(
+            test_crashes.make_endpoint("a", state=directory.LEAVING)
+        )
         confirming = asyncio.ensure_future(hub.confirm())
         await asyncio.sleep(0.05)
         assert not confirming.done()
-        hub._note(watch(hub), hub.directory.revision)
+        hub._record_watch(watch(hub), hub.directory.revision)
         assert await asyncio.wait_for(confirming, 10)
 
-    def test_silent_entries_are_not_named_but_still_counted(self):
+    def test_silent_entries_are_not_ready_but_still_known(self):
         parts = make_parts()
         hub = parts.hub
-        hub._note(watch(hub, "e1"), 0)
-        parts.member.time += hubs.ENTRY_SILENT_S + 0.1
-        hub._note(watch(hub, "e2"), 0)
+        hub._record_watch(watch(hub, "e1"), 0)
+        parts.member.time += hubs.ENTRY_SILENCE_TIMEOUT_S + 0.1
+        hub._record_watch(watch(hub, "e2"), 0)
         assert [r["address"] for r in hub.ready_entries()] == ["e2"]
         assert hub.known_entries() == {"e1", "e2"}
 
-    def test_an_entry_that_leaves_no_longer_counts(self):
+    def test_an_entry_that_left_is_not_known(self):
         hub = make_parts().hub
-        hub._note(watch(hub, "e1", left=True), 0)
+        hub._record_watch(watch(hub, "e1", left=True), 0)
         assert hub.known_entries() == set()
 
-    def test_loads_and_quota_takings_are_summed(self):
+    def test_loads_and_used_quotas_are_summed(self):
         hub = make_parts().hub
         for name in ("e1", "e2"):
             report = {"loads": {"a": [2, 100]}, "taken": {"w": 5.0}}
-            hub._note(watch(hub, name, **report), 0)
+            hub._record_watch(watch(hub, name, **report), 0)
         assert hub.loads() == {"a": (4, 200)}
-        assert hub.taken() == {"w": 10.0}
+        assert hub.quota_taken() == {"w": 10.0}
 
 
-class TestRemembered:
-    def test_it_outlives_a_loss_of_power_whenever_it_comes(
-        self, tmp_path, monkeypatch
-    ):
-        """Content reaches the disk before its name, the name before success."""
+class TestEndpointCache:
+    def test_it_survives_a_power_loss_at_any_point(self, tmp_path, monkeypatch):
+        """The content is synced before the rename, and the folder after it."""
         steps = []
         real_fsync, real_rename = os.fsync, pathlib.Path.rename
 
@@ -238,33 +241,33 @@
 
         monkeypatch.setattr(os, "fsync", fsync)
         monkeypatch.setattr(pathlib.Path, "rename", rename)
-        remembered.save(str(tmp_path), directory.Directory())
+        endpoint_cache.save(str(tmp_path), directory.Directory())
         assert steps == ["content", "name", "folder"]
 
-    def test_what_was_saved_is_read_back(self, tmp_path):
-        found = directory.Directory()
-        directory.announce(found, test_crashes.make_endpoint("a"), 0.0)
-        assert remembered.save(str(tmp_path), found) is None
-        assert remembered.load(str(tmp_path)) == [
+    def test_saved_endpoints_are_loaded(self, tmp_path):
+        endpoints = directory.Directory()
+        directory.announce(endpoints, test_crashes.make_endpoint("a"), 0.0)
+        assert endpoint_cache.save(str(tmp_path), endpoints) is None
+        assert endpoint_cache.load(str(tmp_path)) == [
             test_crashes.make_endpoint("a")
         ]
 
     @pytest.mark.parametrize("content", [b"", b"[[1,", b"{}", b"[[1]]"])
-    def test_a_torn_file_is_no_file(self, tmp_path, content):
-        pathlib.Path(tmp_path, remembered.NAME).write_bytes(content)
-        assert remembered.load(str(tmp_path)) == []
+    def test_a_damaged_file_is_ignored(self, tmp_path, content):
+        pathlib.Path(tmp_path, endpoint_cache.FILE_NAME).write_bytes(content)
+        assert endpoint_cache.load(str(tmp_path)) == []
 
-    def test_a_folder_that_refuses_is_told(self, tmp_path):
+    def test_a_failed_write_is_reported(self, tmp_path):
         missing = str(tmp_path / "missing")
         assert isinstance(
-            remembered.save(missing, directory.Directory()), OSError
+            endpoint_cache.save(missing, directory.Directory()), OSError
         )
 
-    def test_those_not_heard_again_are_named(self):
-        found = directory.Directory()
-        kept = [test_crashes.make_endpoint(name) for name in "ab"]
-        for each in kept:
-            directory.announce(found, each, 0.0)
-        heard = test_crashes.make_endpoint("b", sequence=2)
-        directory.announce(found, heard, 1.0)
-        assert remembered.unheard(found, kept) == ["a"]
+    def test_endpoints_not_announced_again_are_unconfirmed(self):
+        endpoints = directory.Directory()
+        restored = [test_crashes.make_endpoint(name) for name in "ab"]
+        for endpoint in restored:
+            directory.announce(endpoints, endpoint, 0.0)
+        announced_again = test_crashes.make_endpoint("b", sequence=2)
+        directory.announce(endpoints, announced_again, 1.0)
+        assert endpoint_cache.unconfirmed(endpoints, restored) == ["a"]
--- a/testing/test_leases.py
+++ b/testing/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of entries: what the leader may conclude about them."""
+"""Leases of entries: what the leader may infer from them."""
 
 import json
 
@@ -13,10 +13,10 @@
 
 @pytest.fixture
 def tables():
-    made = rows.Tables()
+    lease_table = rows.Tables()
     command = commands.RegisterEntry("e", 1, "a", "l", "d", 1, "r")
-    machine.apply(made, machine.stamp(command, 1), 1)
-    return made
+    machine.apply(lease_table, machine.stamp(command, 1), 1)
+    return lease_table
 
 
 def sync(revision, view_version=0, active=()):
@@ -29,45 +29,57 @@
     )
 
 
-class TestInForce:
+class TestEntriesBehind:
     def test_entry_that_serves_the_revision_is_not_behind(self, tables):
-        made = leases.Leases(since=0.0)
-        made.note(sync(4), 1.0)
-        assert made.behind(tables, 4, 1.0) == []
-        assert made.behind(tables, 5, 1.0) == ["e"]
+        lease_table = leases.Leases(leader_since=0.0)
+        lease_table.record_sync(sync(4), 1.0)
+        assert lease_table.entries_behind(tables, 4, 1.0) == []
+        assert lease_table.entries_behind(tables, 5, 1.0) == ["e"]
 
-    def test_stamp_that_ran_out_is_not_behind(self, tables):
-        made = leases.Leases(since=0.0)
-        made.grant(sync(4), 10.0)
-        assert made.behind(tables, 5, 10.0 + leases.LEASE_S - 0.01) == ["e"]
-        assert made.behind(tables, 5, 10.0 + leases.LEASE_S) == []
+    def test_entry_with_expired_lease_is_not_behind(self, tables):
+        lease_table = leases.Leases(leader_since=0.0)
+        lease_table.grant(sync(4), 10.0)
+        assert lease_table.entries_behind(
+            tables, 5, 10.0 + leases.LEASE_S - 0.01
+        ) == ["e"]
+        assert (
+            lease_table.entries_behind(tables, 5, 10.0 + leases.LEASE_S) == []
+        )
 
-    def test_word_of_an_entry_extends_nothing(self, tables):
-        made = leases.Leases(since=0.0)
-        made.grant(sync(4), 10.0)
-        made.note(sync(4), 12.0)
-        assert made.behind(tables, 5, 10.0 + leases.LEASE_S) == []
+    def test_recording_a_request_does_not_extend_the_lease(self, tables):
+        lease_table = leases.Leases(leader_since=0.0)
+        lease_table.grant(sync(4), 10.0)
+        lease_table.record_sync(sync(4), 12.0)
+        assert (
+            lease_table.entries_behind(tables, 5, 10.0 + leases.LEASE_S) == []
+        )
 
-    def test_new_leader_counts_every_entry_as_freshly_stamped(self, tables):
-        made = leases.Leases(since=100.0)
-        assert made.behind(tables, 1, 100.0 + leases.LEASE_S - 0.01) == ["e"]
-        assert made.behind(tables, 1, 100.0 + leases.LEASE_S) == []
+    def test_new_leader_assumes_that_every_entry_holds_a_lease(self, tables):
+        lease_table = leases.Leases(leader_since=100.0)
+        assert lease_table.entries_behind(
+            tables, 1, 100.0 + leases.LEASE_S - 0.01
+        ) == ["e"]
+        assert (
+            lease_table.entries_behind(tables, 1, 100.0 + leases.LEASE_S) == []
+        )
 
-    def test_silent_entry_is_lost_after_its_stamps_ran_out(self, tables):
-        made = leases.Leases(since=0.0)
-        made.grant(sync(1), 10.0)
-        assert made.lost(tables, 10.0 + leases.LEASE_S) == []
-        assert made.lost(tables, 10.1 + leases.LOST_S) == [("e", 1)]
+    def test_silent_entry_is_lost_after_its_lease_expired(self, tables):
+        lease_table = leases.Leases(leader_since=0.0)
+        lease_table.grant(sync(1), 10.0)
+        assert lease_table.lost_entries(tables, 10.0 + leases.LEASE_S) == []
+        assert lease_table.lost_entries(
+            tables, 10.1 + leases.LOST_TIMEOUT_S
+        ) == [("e", 1)]
 
 
-class TestAlone:
-    def test_every_entry_has_to_have_seen_the_reservation(self, tables):
-        made = leases.Leases(since=0.0)
+class TestIsIdle:
+    def test_every_entry_must_have_seen_the_isolation(self, tables):
+        lease_table = leases.Leases(leader_since=0.0)
         command = commands.Isolate("f", "u", 1, "e")
         machine.apply(tables, machine.stamp(command, 1), 7)
-        made.note(sync(1, view_version=6), 1.0)
-        assert not made.is_alone(tables, "u")
-        made.note(sync(1, view_version=7, active=["u"]), 1.1)
-        assert not made.is_alone(tables, "u")
-        made.note(sync(1, view_version=7), 1.2)
-        assert made.is_alone(tables, "u")
+        lease_table.record_sync(sync(1, view_version=6), 1.0)
+        assert not lease_table.is_idle(tables, "u")
+        lease_table.record_sync(sync(1, view_version=7, active=["u"]), 1.1)
+        assert not lease_table.is_idle(tables, "u")
+        lease_table.record_sync(sync(1, view_version=7), 1.2)
+        assert lease_table.is_idle(tables, "u")
