--- a/src/_arbutuswalk/streams/__init__.py
+++ b/src/_arbutuswalk/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Relaying and continuing one streamed answer."""
+"""Upstream connections, attempts and streamed responses."""
--- a/src/_arbutuswalk/streams/answer.py
+++ b/src/_arbutuswalk/streams/answer.py
@@ -1,4 +1,4 @@
-"""One request's answer as it grows, and whoever reads it."""
+"""The response to one request while it is generated, and its readers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class Problem(NamedTuple):
-    """Why a request has no whole answer.
+    """Why a request has no complete response.
 
     Attributes:
         status: HTTP status.
         title: Short reason, equal for equal causes.
         detail: What the caller should know or do.
-        ran: ``no``, ``unknown`` or ``yes``.
-        retry_after_s: When to come back, zero for not at all.
+        ran: Whether the request ran: ``no``, ``unknown`` or ``yes``.
+        retry_after_s: When the caller may retry, zero if it should not.
     """
 
     status: int
@@ -25,50 +25,50 @@
 
 
 Reader = Callable[[], None]
-"""Called whenever the answer has grown or ended."""
+"""Called whenever events were added or the response ended."""
 
 
 class Answer:
-    """Events of one generation, kept until nobody can resume it.
+    """Events of one generation, kept as long as a caller can resume it.
 
     Attributes:
         request_id: Id of the request.
         events: Engine events in order, without ids and separators.
-        prefix: What every event's id line starts with.
+        id_prefix: Start of every event's id line.
         done: Whether the end marker was received.
-        problem: Why it ended without the end marker.
+        problem: Why the response ended without the end marker.
         readers: Callbacks of attached readers.
     """
 
     def __init__(self, *, request_id: str):
         self.request_id = request_id
         self.events: list[bytes] = []
-        self.prefix = framing.id_prefix(request_id)
+        self.id_prefix = framing.id_prefix(request_id)
         self.done = False
         self.problem: Problem | None = None
         self.readers: set[Reader] = set()
 
     @property
     def ended(self) -> bool:
-        """Whether nothing will be added any more."""
+        """Whether the response is complete or has failed."""
         return self.done or self.problem is not None
 
     def add(self, events: list[bytes]) -> None:
-        """Adds engine events and wakes readers."""
+        """Adds engine events and calls the readers."""
         self.events += events
         self._wake()
 
     def framed(self, start: int) -> bytes:
-        """Returns the events from ``start`` on as sent to callers."""
-        return framing.number(self.prefix, start, self.events[start:])
+        """Returns the events from ``start`` on, framed for callers."""
+        return framing.number(self.id_prefix, start, self.events[start:])
 
     def finish(self) -> None:
-        """Ends the answer as whole."""
+        """Marks the response as complete."""
         self.done = True
         self._wake()
 
     def fail(self, problem: Problem) -> None:
-        """Ends the answer as not whole."""
+        """Marks the response as failed, unless it has already ended."""
         if not self.ended:
             self.problem = problem
             self._wake()
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt to run a model request on one upstream."""
+"""One attempt to execute a model request on one upstream."""
 
 import dataclasses
 import json
@@ -17,11 +17,17 @@
 ATTEMPT_HEADER = "X-Attempt-Id"
 CACHED_HEADER = "X-Cached-Tokens"
 PRIORITY_HEADER = "X-Priority"
-READ_BYTES = 64 * 1024
+MAX_ERROR_CHUNK_BYTES = 64 * 1024
 
 
 class Deadlines(NamedTuple):
-    """How long an attempt may take to each step, in seconds."""
+    """Timeouts of an attempt, in seconds.
+
+    Attributes:
+        connect_s: Until the connection is open.
+        first_byte_s: Until status and headers are received.
+        gap_s: Between two reads of the response.
+    """
 
     connect_s: float = 1.0
     first_byte_s: float = 10.0
@@ -29,16 +35,16 @@
 
 
 class Order(NamedTuple):
-    """What to send.
+    """The request that an attempt sends.
 
     Attributes:
         address: ``IP:port`` of the upstream.
-        path: Path on it.
+        path: Request path.
         request_id: Id of the request.
         attempt_id: Id of this attempt.
         body: JSON body.
-        priority: Passed on to the engine.
-        echo: Whether the upstream echoes ids.
+        priority: Priority forwarded to the engine.
+        echo: Whether the upstream echoes the attempt id.
     """
 
     address: str
@@ -52,21 +58,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Completed:
-    """The end marker came; the answer is whole."""
+    """The end marker was received; the response is complete."""
 
     cached_tokens: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotConnected:
-    """No connection opened; the upstream has seen nothing."""
+    """No connection was opened; the upstream received nothing."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Declined:
-    """The upstream answered with an error before any event."""
+    """The upstream answered with an error status instead of events."""
 
     status: int
     detail: str
@@ -82,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Silent:
-    """Nothing came in time; the connection was dropped."""
+    """Nothing was received within a timeout; the connection was closed."""
 
     after_s: float
     cached_tokens: int = 0
@@ -90,14 +96,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Crossed:
-    """The answer names another request; none of it was used."""
+    """The response belongs to another attempt; none of it was used."""
 
     got: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Stopped:
-    """The attempt was stopped from here, to go on elsewhere."""
+    """The attempt was cancelled by this entry, to continue elsewhere."""
 
 
 Result = (
@@ -107,65 +113,65 @@
 Feed = Callable[[list[bytes]], None]
 
 
-class Reading:
-    """State of an attempt while its events come in.
+class AttemptState:
+    """State of an attempt while its events are received.
 
     Attributes:
-        feed: Takes complete events.
-        echo: Whether the upstream echoes ids.
+        feed: Called with complete events.
+        echo: Whether the upstream echoes the attempt id.
         exchange: Exchange whose body is read.
-        framer: Cuts the body into events.
+        framer: Splits the body into events.
         result: Result, once it is known.
-        refusal: Body of an answer that is no stream.
-        stop: Ends the connection once the result is known.
+        error_body: Start of the body of a response with an error status.
+        abort: Closes the connection once the result is known.
     """
 
     def __init__(self, *, feed: Feed, attempt_id: str, echo: bool):
         self.feed = feed
         self.echo = echo
         self.exchange = connections.Exchange(
-            sent_id=attempt_id, has_body=True, feed=self.take
+            sent_id=attempt_id, has_body=True, feed=self.receive_body
         )
         self.framer = framing.Framer()
         self.result: Result | None = None
-        self.refusal = b""
-        self.stop = lambda: None
+        self.error_body = b""
+        self.abort = lambda: None
 
-    def take(self, data: bytes) -> None:
-        """Takes a piece of the body."""
+    def receive_body(self, data: bytes) -> None:
+        """Processes a chunk of the body."""
         if self.exchange.status != STATUS_OK:
-            self.refusal += data[:READ_BYTES]
+            self.error_body += data[:MAX_ERROR_CHUNK_BYTES]
             return
         if self.result is not None or crossed(self.exchange, self.echo):
             return
         events = self.framer.feed(data)
         if len(self.framer.rest) > framing.MAX_EVENT_BYTES:
-            self._finish(Broke(reason="event too large"))
+            self._set_result(Broke(reason="event too large"))
         elif events:
-            self._take_events(events)
+            self._deliver_events(events)
 
-    def _take_events(self, events: list[bytes]) -> None:
-        ending = _find_end(events)
-        if ending is None:
+    def _deliver_events(self, events: list[bytes]) -> None:
+        end = _find_end_marker(events)
+        if end is None:
             self.feed(events)
             return
-        position, failed = ending
-        whole = events[:position] if failed else events[: position + 1]
-        if whole:
-            self.feed(whole)
+        position, failed = end
+        delivered = events[:position] if failed else events[: position + 1]
+        if delivered:
+            self.feed(delivered)
         if failed:
             detail = events[position][:200].decode(errors="replace")
-            self._finish(Broke(reason=detail))
+            self._set_result(Broke(reason=detail))
         else:
-            self._finish(Completed(cached_tokens=0))
+            self._set_result(Completed(cached_tokens=0))
 
-    def _finish(self, result: Result) -> None:
+    def _set_result(self, result: Result) -> None:
         self.result = result
-        self.stop()
+        self.abort()
 
 
 def read_reply(status: int, headers: replies.Headers) -> replies.Reply:
-    """Tells what an upstream's status and headers mean."""
+    """Interprets the status and headers of a response."""
     echoed = replies.first(headers, ATTEMPT_HEADER.lower().encode())
     connection = replies.first(headers, b"connection").lower()
     return replies.Reply(
@@ -178,69 +184,77 @@
 
 
 async def run(order: Order, deadlines: Deadlines, feed: Feed) -> Result:
-    """Runs one attempt and feeds each event that comes in.
+    """Runs one attempt and passes the received events to ``feed``.
 
-    It has a connection of its own, so that none can be silent from an earlier
-    use.
+    Every attempt opens a new connection: a reused one could have failed
+    silently since its last use.
     """
-    reading = Reading(feed=feed, attempt_id=order.attempt_id, echo=order.echo)
-    opened = await pool.connect(
+    state = AttemptState(
+        feed=feed, attempt_id=order.attempt_id, echo=order.echo
+    )
+    connection = await pool.connect(
         order.address, read=read_reply, timeout_s=deadlines.connect_s
     )
-    if isinstance(opened, pool.NotOpened):
-        return NotConnected(reason=opened.reason)
-    reading.stop = opened.abort
-    opened.begin(_request(order), reading.exchange)
+    if isinstance(connection, pool.NotOpened):
+        return NotConnected(reason=connection.reason)
+    state.abort = connection.abort
+    connection.begin(_encode_request(order), state.exchange)
     try:
-        return await _follow(reading, deadlines)
+        return await _wait_for_end(state, deadlines)
     finally:
-        opened.abort()
+        connection.abort()
 
 
-async def _follow(reading: Reading, deadlines: Deadlines) -> Result:
-    """Waits for the end of an answer, or for a silence too long."""
-    exchange = reading.exchange
-    if not await _await_head(exchange, deadlines.first_byte_s):
+async def _wait_for_end(state: AttemptState, deadlines: Deadlines) -> Result:
+    """Waits for the end of a response or for a timeout."""
+    exchange = state.exchange
+    if not await _wait_for_headers(exchange, deadlines.first_byte_s):
         return Silent(after_s=deadlines.first_byte_s)
-    if crossed(exchange, reading.echo):
+    if crossed(exchange, state.echo):
         return Crossed(got=exchange.crossed_id)
     while not exchange.over:
-        left_s = exchange.heard_at + deadlines.gap_s - clock.monotonic()
-        if left_s <= 0:
-            return _with_cached(exchange, Silent(after_s=deadlines.gap_s))
-        await exchange.news_within(left_s)
-    if reading.result is not None:
-        return _with_cached(exchange, reading.result)
+        remaining_s = exchange.heard_at + deadlines.gap_s - clock.monotonic()
+        if remaining_s <= 0:
+            return _with_cached_tokens(
+                exchange, Silent(after_s=deadlines.gap_s)
+            )
+        await exchange.news_within(remaining_s)
+    if state.result is not None:
+        return _with_cached_tokens(exchange, state.result)
     if exchange.status and exchange.status != STATUS_OK:
-        detail = reading.refusal[:500].decode(errors="replace")
+        detail = state.error_body[:500].decode(errors="replace")
         return Declined(status=exchange.status, detail=detail)
     reason = exchange.failure or "closed before the end marker"
-    return _with_cached(exchange, Broke(reason=reason))
+    return _with_cached_tokens(exchange, Broke(reason=reason))
 
 
-async def _await_head(exchange: connections.Exchange, timeout_s: float) -> bool:
-    """Waits for status and headers, or the end; false if time runs out."""
-    until = clock.monotonic() + timeout_s
+async def _wait_for_headers(
+    exchange: connections.Exchange, timeout_s: float
+) -> bool:
+    """Waits for the headers or the end; returns false on a timeout."""
+    deadline = clock.monotonic() + timeout_s
     while not (exchange.reply or exchange.crossed_id or exchange.over):
-        if not await exchange.news_within(until - clock.monotonic()):
+        if not await exchange.news_within(deadline - clock.monotonic()):
             return False
     return True
 
 
 def crossed(exchange: connections.Exchange, echo: bool) -> bool:
-    """Tells whether the answer belongs to another attempt.
+    """Returns whether the response belongs to another attempt.
 
     Args:
-        exchange: Exchange whose head has come.
-        echo: Whether the upstream echoes ids.
+        exchange: Exchange whose headers have been received.
+        echo: Whether the upstream echoes the attempt id.
     """
     if exchange.crossed_id:
         return True
     return bool(exchange.reply) and echo and not exchange.reply.answers
 
 
-def _with_cached(exchange: connections.Exchange, result: Result) -> Result:
-    """Adds how many tokens the upstream found in its cache."""
+def _with_cached_tokens(
+    exchange: connections.Exchange, result: Result
+) -> Result:
+    """Returns the result with the number of tokens cached by the upstream."""
     name = CACHED_HEADER.lower().encode()
     text = replies.first(exchange.headers, name)
     if not hasattr(result, "cached_tokens") or not text.isdigit():
@@ -248,8 +262,8 @@
     return dataclasses.replace(result, cached_tokens=int(text))
 
 
-def _request(order: Order) -> bytes:
-    """Returns the bytes of the whole request."""
+def _encode_request(order: Order) -> bytes:
+    """Returns the request as bytes, headers and body."""
     body = json.dumps(order.body).encode()
     head = (
         f"POST {order.path} HTTP/1.1\r\n"
@@ -265,8 +279,11 @@
     return head.encode() + body
 
 
-def _find_end(events: list[bytes]) -> tuple[int, bool] | None:
-    """Returns where an end marker or error stands, and whether an error."""
+def _find_end_marker(events: list[bytes]) -> tuple[int, bool] | None:
+    """Returns the position of the first end marker or error event, if any.
+
+    The second value is true for an error event.
+    """
     for i, event in enumerate(events):
         if event == framing.DONE:
             return i, False
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -1,7 +1,7 @@
-"""A connection to an upstream: one exchange at a time, nothing trusted.
+"""HTTP connection to an upstream that carries one exchange at a time.
 
-Bytes that come while no answer is due make the connection unusable, and so
-does an answer to another request unless the right one follows it.
+Unexpected bytes and a response to another request both exclude the connection
+from reuse. A mismatched response is skipped, so that the right one may follow.
 """
 
 import asyncio
@@ -16,27 +16,28 @@
 
 MAX_HEADER_BYTES = 64 * 1024
 PAUSE_BYTES = 256 * 1024
-"""Bytes waiting for a slow caller at which reading stops."""
+"""Bytes buffered for a slow caller above which reading is paused."""
 NO_BODY_STATUSES = (204, 304)
 
 
 class Exchange:
-    """One request on a connection and the answer to it.
+    """One request on a connection and the response to it.
 
     Attributes:
-        sent_id: Id that the answer has to bear.
-        has_body: Whether the answer to this method has a body.
-        feed: Takes pieces of the body in the callback that brings them, so
-            that no task wakes up for each; None to keep them.
-        crossed_id: Id that an answer bore which belongs to another exchange.
-        status: Answer's status, 0 before it is known.
-        headers: Answer's headers.
-        reply: What they mean, None before.
-        pieces: Pieces of the body not taken yet.
-        waiting_bytes: Their size.
-        complete: Whether the whole answer has come.
-        failure: Why there is no more to come, empty while there may be.
-        heard_at: When a byte of the answer last came.
+        sent_id: Id that the response must carry.
+        has_body: Whether a response to this method has a body.
+        feed: Called with each chunk of the body directly from the parser, so
+            that no task is woken per chunk; None to buffer the chunks.
+        crossed_id: Id of a received response that belongs to another exchange.
+        status: Status of the response, 0 before it is known.
+        headers: Headers of the response.
+        reply: Interpretation of status and headers, None before they are known.
+        pieces: Buffered chunks of the body.
+        waiting_bytes: Total size of the buffered chunks.
+        complete: Whether the response has been received completely.
+        failure: Why the response ended early, empty if it has not.
+        heard_at: When data was last received.
+        news: Set when any of these has changed.
     """
 
     def __init__(
@@ -62,21 +63,21 @@
 
     @property
     def over(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether the response is complete or has failed."""
         return self.complete or bool(self.failure)
 
-    async def news_within(self, left_s: float) -> bool:
-        """Waits until something new is known; false if time runs out."""
+    async def news_within(self, timeout_s: float) -> bool:
+        """Waits for the next change; returns false on a timeout."""
         self.news.clear()
         try:
-            async with asyncio.timeout(max(0.0, left_s)):
+            async with asyncio.timeout(max(0.0, timeout_s)):
                 await self.news.wait()
         except TimeoutError:
             return False
         return True
 
     def take(self) -> bytes:
-        """Returns all pieces that wait, in one."""
+        """Removes and returns the buffered part of the body."""
         data = b"".join(self.pieces)
         self.pieces.clear()
         self.waiting_bytes = 0
@@ -88,10 +89,14 @@
 
     Attributes:
         address: ``IP:port`` of the upstream.
-        exchange: Exchange under way, None while idle.
+        read: Interprets the status and headers of a response.
+        on_close: Called once the connection has closed.
+        exchange: Current exchange, None while idle.
         idle_since: When the last exchange ended.
         idle_s: How long the upstream keeps an idle connection, if known.
-        usable: Whether another exchange may begin.
+        usable: Whether the connection may carry another exchange.
+        until_close: Whether the end of the connection ends the body.
+        ignoring_body: Whether the current response is a mismatched one.
     """
 
     def __init__(
@@ -114,29 +119,29 @@
         self.header_bytes = 0
         self.status = 0
         self.until_close = False
-        self.skipping = False
+        self.ignoring_body = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Sets the socket up."""
+        """Configures detection of dead peers on the socket."""
         self.transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sockets.detect_silence(sock)
 
     def begin(self, data: bytes, exchange: Exchange) -> None:
-        """Sends a request whose answer goes to ``exchange``."""
+        """Sends a request; its response is stored in ``exchange``."""
         self.exchange = exchange
         self.parser = httptools.HttpResponseParser(self)
         self.transport.write(data)
 
     def abort(self) -> None:
-        """Closes the connection at once; its upstream stops the work."""
+        """Closes the connection at once, so that the upstream stops work."""
         self.usable = False
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser, which calls back below."""
+        """Passes data to the parser, which calls the ``on_`` methods."""
         exchange = self.exchange
         if exchange is None:
             self.abort()
@@ -145,48 +150,48 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"not HTTP: {error}")
+            self._set_failure(f"not HTTP: {error}")
             self.abort()
 
     def eof_received(self) -> None:
-        """Completes an answer that ends with its connection."""
+        """Completes a response whose body ends with the connection."""
         if self.exchange is not None and self.until_close:
             self._complete()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Ends what was not complete."""
+        """Fails an exchange that is not complete."""
         self.usable = False
-        self._fail(f"connection lost: {error or 'closed'}")
+        self._set_failure(f"connection lost: {error or 'closed'}")
         self.on_close(self)
 
     def on_message_begin(self) -> None:
-        """Starts an answer; one too many makes the connection unusable."""
+        """Starts a response; an unexpected one excludes reuse."""
         self.headers = []
         self.header_bytes = 0
         if self.exchange is None or self.exchange.over:
             self.usable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps a header."""
+        """Stores a header, up to the limit for all headers together."""
         self.header_bytes += len(name) + len(value)
         if self.header_bytes > MAX_HEADER_BYTES:
             raise ValueError("headers too large")
         self.headers.append((name.lower(), value.strip()))
 
     def on_headers_complete(self) -> None:
-        """Hands status and headers over, if they answer this request."""
+        """Stores status and headers if they belong to this exchange."""
         self.status = self.parser.get_status_code()
         exchange = self.exchange
         if exchange is None or exchange.over or self._is_interim():
             return
         reply = self.read(self.status, self.headers)
-        self.skipping = reply.answers not in ("", exchange.sent_id)
-        if self.skipping:
+        self.ignoring_body = reply.answers not in ("", exchange.sent_id)
+        if self.ignoring_body:
             self.usable = False
             exchange.crossed_id = reply.answers
             exchange.news.set()
             return
-        self.until_close = exchange.has_body and self._ends_with_close()
+        self.until_close = exchange.has_body and self._body_ends_at_close()
         if self.until_close or reply.closing:
             self.usable = False
         self.idle_s = reply.idle_s
@@ -199,9 +204,9 @@
             self._complete()
 
     def on_body(self, data: bytes) -> None:
-        """Queues a piece of the body."""
+        """Buffers a chunk of the body or passes it to the callback."""
         exchange = self.exchange
-        if exchange is None or exchange.over or self.skipping:
+        if exchange is None or exchange.over or self.ignoring_body:
             return
         if exchange.feed is not None:
             exchange.feed(data)
@@ -213,23 +218,23 @@
         exchange.news.set()
 
     def on_message_complete(self) -> None:
-        """Completes the answer, unless it was interim or another's."""
-        if self._is_interim() or self.skipping or self.until_close:
-            self.skipping = False
+        """Completes the response, unless it is interim or mismatched."""
+        if self._is_interim() or self.ignoring_body or self.until_close:
+            self.ignoring_body = False
             return
         if not self.parser.should_keep_alive():
             self.usable = False
         self._complete()
 
     def taken(self) -> None:
-        """Goes on reading after a slow caller took what waited."""
+        """Resumes reading after the buffered body was taken."""
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
     def finish(self) -> None:
-        """Ends the exchange; the connection may be used again if it is clean.
+        """Ends the exchange and excludes reuse if request bytes are unsent.
 
-        A request whose bytes have not all left would run into the next one.
+        The rest of an unsent request would be taken for part of the next one.
         """
         self.exchange = None
         self.idle_since = clock.monotonic()
@@ -239,7 +244,7 @@
     def _is_interim(self) -> bool:
         return 100 <= self.status < 200
 
-    def _ends_with_close(self) -> bool:
+    def _body_ends_at_close(self) -> bool:
         if self.status in NO_BODY_STATUSES:
             return False
         names = {name for name, _ in self.headers}
@@ -251,7 +256,7 @@
             exchange.complete = True
             exchange.news.set()
 
-    def _fail(self, reason: str) -> None:
+    def _set_failure(self, reason: str) -> None:
         self.usable = False
         exchange = self.exchange
         if exchange is not None and not exchange.over:
--- a/src/_arbutuswalk/streams/framing.py
+++ b/src/_arbutuswalk/streams/framing.py
@@ -1,4 +1,4 @@
-"""Server-sent events as bytes: split, numbered and counted, not parsed."""
+"""Splits and numbers server-sent events as bytes, without parsing them."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 class Framer:
-    """Cuts a byte stream into events.
+    """Splits a byte stream into events.
 
     Attributes:
         rest: Bytes of an event that is not complete yet.
@@ -29,30 +29,30 @@
 
 
 def id_prefix(request_id: str) -> bytes:
-    """Returns what the id line of each of a request's events starts with."""
+    """Returns the start of the id line of each event of a request."""
     return f"id: {request_id}:".encode()
 
 
 def number(prefix: bytes, first: int, events: list[bytes]) -> bytes:
-    """Returns events with their id lines, ready to send."""
+    """Returns events with id lines and separators, ready to send."""
     if len(events) == 1:
         return b"%b%d\n%b\n\n" % (prefix, first, events[0])
     return b"".join(
-        b"%b%d\n%b\n\n" % (prefix, index, event)
-        for index, event in enumerate(events, first)
+        b"%b%d\n%b\n\n" % (prefix, event_number, event)
+        for event_number, event in enumerate(events, first)
     )
 
 
 def parse_event_id(text: str) -> tuple[str, int] | None:
     """Returns the request id and event number of a ``Last-Event-ID``."""
-    request_id, _, index = text.rpartition(":")
-    if not request_id or not index.isdigit():
+    request_id, _, event_number = text.rpartition(":")
+    if not request_id or not event_number.isdigit():
         return None
-    return request_id, int(index)
+    return request_id, int(event_number)
 
 
 def text_of(event: bytes) -> str:
-    """Returns the text that one completion or chat event carries."""
+    """Returns the text of a completion or chat event, or an empty string."""
     if not event.startswith(b"data: {"):
         return ""
     try:
@@ -65,7 +65,7 @@
 
 
 def payload_of(event: bytes) -> dict | None:
-    """Returns the JSON object an event carries, if it does."""
+    """Returns the JSON object in an event, or None."""
     if not event.startswith(b"data: {"):
         return None
     try:
--- a/src/_arbutuswalk/streams/pool.py
+++ b/src/_arbutuswalk/streams/pool.py
@@ -1,7 +1,7 @@
-"""Connections to upstreams: few, kept while they are useful, never doubted.
+"""Pool of connections to upstreams.
 
 Upstreams accept a bounded number of connections from all entries together, and
-each new one costs them time.
+each new connection costs them time, so idle connections are reused.
 """
 
 import asyncio
@@ -12,25 +12,26 @@
 from _arbutuswalk.streams import connection as connections
 from _arbutuswalk.streams import replies
 
-CONNECT_S = 0.6
-"""Time a connection may take to open: a lost first packet is sent again only
-after a second, so waiting longer finds a dead endpoint no sooner."""
-IDLE_S = 3.0
-"""How long an idle connection is kept if its endpoint names no time."""
+CONNECT_TIMEOUT_S = 0.6
+"""Connect timeout. TCP retransmits a lost first packet only after one second,
+so a slightly longer timeout would only delay the detection of a dead
+endpoint."""
+DEFAULT_IDLE_TIMEOUT_S = 3.0
+"""How long an idle connection is kept if its endpoint announces no timeout."""
 IDLE_MARGIN_S = 1.0
-"""Kept connections are given up this much before their endpoint closes them."""
-FRESH_IDLE_S = 2.0
-"""Idle time up to which a connection carries requests that run only once: one
-that was alive so lately is seldom closed under the request."""
+"""How long before the endpoint's timeout an idle connection is closed."""
+NON_IDEMPOTENT_MAX_IDLE_S = 2.0
+"""Longest idle time of a connection used for a non-idempotent request: after a
+short idle time the endpoint seldom closes the connection during the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotOpened:
-    """No connection opened, so nothing was sent.
+    """No connection was opened, so nothing was sent.
 
     Attributes:
-        reason: What happened.
-        refused: Whether the endpoint's machine refused it.
+        reason: Why not.
+        refused: Whether the endpoint's instance refused the connection.
     """
 
     reason: str
@@ -38,19 +39,19 @@
 
 
 class Pool:
-    """Idle and busy connections by address.
+    """Idle connections by address.
 
     Attributes:
-        read: Tells what an answer's status and headers mean.
-        connect_s: Time a connection may take to open.
-        idle: Idle connections by address, the one used last at the end.
+        read: Interprets the status and headers of a response.
+        connect_s: Connect timeout.
+        idle: Idle connections by address, the most recently used last.
     """
 
     def __init__(
         self,
         *,
         read: Callable[[int, replies.Headers], replies.Reply],
-        connect_s: float = CONNECT_S,
+        connect_s: float = CONNECT_TIMEOUT_S,
         now: clock.Clock = clock.monotonic,
     ):
         self.read = read
@@ -61,44 +62,48 @@
     async def take(
         self, address: str, *, careful: bool
     ) -> connections.Connection | NotOpened:
-        """Returns a connection to use, kept or new.
+        """Returns an idle connection or opens a new one.
 
         Args:
             address: ``IP:port`` of the endpoint.
-            careful: Whether a request lost with its connection cannot be
-                sent again.
+            careful: Whether the request must not be sent again if it is lost
+                with its connection.
         """
-        kept = self.idle.get(address, [])
+        idle = self.idle.get(address, [])
         now = self.now()
-        while kept:
-            found = kept.pop()
-            if found.usable and now - found.idle_since < _limit(found, careful):
-                return found
-            found.abort()
+        while idle:
+            candidate = idle.pop()
+            if candidate.usable and now - candidate.idle_since < _max_idle_s(
+                candidate, careful
+            ):
+                return candidate
+            candidate.abort()
         return await self.open(address)
 
-    def give_back(self, used: connections.Connection) -> None:
-        """Takes a connection back after its exchange."""
-        used.finish()
-        if used.usable and not used.transport.is_closing():
-            self.idle.setdefault(used.address, []).append(used)
+    def give_back(self, connection: connections.Connection) -> None:
+        """Returns a connection to the pool after its exchange, or closes it."""
+        connection.finish()
+        if connection.usable and not connection.transport.is_closing():
+            self.idle.setdefault(connection.address, []).append(connection)
         else:
-            used.transport.close()
+            connection.transport.close()
 
     def drop(self, address: str) -> None:
-        """Closes idle connections to an address that has become doubtful."""
-        for each in self.idle.pop(address, []):
-            each.abort()
+        """Closes the idle connections to an address suspected to be down."""
+        for connection in self.idle.pop(address, []):
+            connection.abort()
 
     def tick(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections that have been idle for too long."""
         now = self.now()
-        for address, kept in list(self.idle.items()):
-            for each in list(kept):
-                if now - each.idle_since >= _limit(each, careful=False):
-                    kept.remove(each)
-                    each.abort()
-            if not kept:
+        for address, idle in list(self.idle.items()):
+            for connection in list(idle):
+                if now - connection.idle_since >= _max_idle_s(
+                    connection, careful=False
+                ):
+                    idle.remove(connection)
+                    connection.abort()
+            if not idle:
                 del self.idle[address]
 
     def close(self) -> None:
@@ -107,18 +112,18 @@
             self.drop(address)
 
     async def open(self, address: str) -> connections.Connection | NotOpened:
-        """Returns a new connection."""
+        """Opens a new connection."""
         return await connect(
             address,
             read=self.read,
             timeout_s=self.connect_s,
-            on_close=self._closed,
+            on_close=self._remove_closed,
         )
 
-    def _closed(self, lost: connections.Connection) -> None:
-        kept = self.idle.get(lost.address, [])
-        if lost in kept:
-            kept.remove(lost)
+    def _remove_closed(self, closed: connections.Connection) -> None:
+        idle = self.idle.get(closed.address, [])
+        if closed in idle:
+            idle.remove(closed)
 
 
 async def connect(
@@ -126,21 +131,21 @@
     *,
     read: Callable[[int, replies.Headers], replies.Reply],
     timeout_s: float,
-    on_close: Callable[[connections.Connection], None] = lambda lost: None,
+    on_close: Callable[[connections.Connection], None] = lambda closed: None,
 ) -> connections.Connection | NotOpened:
     """Opens a connection to ``address``.
 
     Args:
         address: ``IP:port`` of the upstream.
-        read: Tells what an answer's status and headers mean.
-        timeout_s: Time it may take.
+        read: Interprets the status and headers of a response.
+        timeout_s: Connect timeout.
         on_close: Called once the connection has closed.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
-            _, made = await loop.create_connection(
+            _, connection = await loop.create_connection(
                 lambda: connections.Connection(
                     address=address, read=read, on_close=on_close
                 ),
@@ -152,12 +157,12 @@
     except OSError as error:
         refused = isinstance(error, ConnectionRefusedError)
         return NotOpened(reason=str(error), refused=refused)
-    return made
+    return connection
 
 
-def _limit(kept: connections.Connection, careful: bool) -> float:
-    """Returns how long a connection may have been idle to be used."""
-    limit = IDLE_S
-    if kept.idle_s is not None:
-        limit = max(0.0, kept.idle_s - IDLE_MARGIN_S)
-    return min(limit, FRESH_IDLE_S) if careful else limit
+def _max_idle_s(connection: connections.Connection, careful: bool) -> float:
+    """Returns the idle time up to which a connection may be used."""
+    max_idle_s = DEFAULT_IDLE_TIMEOUT_S
+    if connection.idle_s is not None:
+        max_idle_s = max(0.0, connection.idle_s - IDLE_MARGIN_S)
+    return min(max_idle_s, NON_IDEMPOTENT_MAX_IDLE_S) if careful else max_idle_s
--- a/src/_arbutuswalk/streams/replies.py
+++ b/src/_arbutuswalk/streams/replies.py
@@ -1,4 +1,4 @@
-"""What an upstream's status and headers mean, whatever its dialect."""
+"""Dialect-independent meaning of a response's status and headers."""
 
 from typing import NamedTuple
 
@@ -7,13 +7,13 @@
 
 
 class Reply(NamedTuple):
-    """What an upstream's status and headers mean.
+    """Meaning of a response's status and headers.
 
     Attributes:
-        ran: False if the upstream says that the request has not run.
-        answers: Id of the exchange that it answers, or empty.
-        good: Whether it is a success.
-        idle_s: How long the upstream keeps the connection, if it says so.
+        ran: False if the upstream states that the request did not run.
+        answers: Id of the exchange that the response belongs to, or empty.
+        good: Whether the status is a success.
+        idle_s: How long the upstream keeps an idle connection, if stated.
         closing: Whether the upstream closes the connection afterwards.
     """
 
@@ -25,8 +25,8 @@
 
 
 def first(headers: Headers, name: bytes) -> bytes:
-    """Returns the first value of a header, empty if there is none."""
-    for known, value in headers:
-        if known == name:
+    """Returns the first value of a header, or an empty value."""
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return b""
