--- a/src/_arbutuswalk/control/hub.py
+++ b/src/_arbutuswalk/control/discovery.py
@@ -57,7 +57,7 @@
     last_watch_at: float
 
 
-class Hub:
+class Discovery:
     """Endpoints and entries known to one control process.
 
     Attributes:
--- a/src/_arbutuswalk/control/duties.py
+++ b/src/_arbutuswalk/control/duties.py
@@ -169,6 +169,6 @@
     events.record(
         events.Event.DUTY_CALL, duty, subject, holder.term, value, outcome
     )
-    holder.parts.hub.metrics.count(
+    holder.parts.discovery.metrics.count(
         "duty_calls", f'duty="{duty}",outcome="{outcome}"'
     )
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -9,8 +9,8 @@
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import events
 from _arbutuswalk.base import process
+from _arbutuswalk.control import discovery as discoveries
 from _arbutuswalk.control import endpoint_cache
-from _arbutuswalk.control import hub as hubs
 from _arbutuswalk.control import leader_tasks
 from _arbutuswalk.control import member as members
 from _arbutuswalk.control import replicated
@@ -33,7 +33,7 @@
     name: str
     member: members.Member
     service: service.Service
-    hub: hubs.Hub
+    discovery: discoveries.Discovery
 
 
 Close = Callable[[], Awaitable[None]]
@@ -52,18 +52,20 @@
         events.warn(events.Event.STORAGE_FAILED, errors.describe(failure))
         return EXIT_STORAGE
     member = members.Member(durable_replica=durable_replica)
-    hub = hubs.Hub(member=member)
+    discovery = discoveries.Discovery(member=member)
     restored = endpoint_cache.load(values["data"])
     for endpoint in restored:
-        hub.apply_announcement(endpoint)
-    request_service = service.Service(member=member, name=values["id"], hub=hub)
+        discovery.apply_announcement(endpoint)
+    request_service = service.Service(
+        member=member, name=values["id"], discovery=discovery
+    )
     server = link.LinkServer(
         address=values["address"], handler=request_service.handle
     )
     await server.start()
     stop = asyncio.Event()
     process.on_signals(drain=stop.set, dump=request_service.dump)
-    parts = Parts(values["id"], member, request_service, hub)
+    parts = Parts(values["id"], member, request_service, discovery)
     close_front = await front(parts) if front is not None else None
     _log_start(values)
     leader_runner = leader_tasks.LeaderTasks(
@@ -72,10 +74,10 @@
     request_service.extra_dump = leader_runner.dump
     member_task = asyncio.ensure_future(member.run())
     leader_task = asyncio.ensure_future(leader_runner.run())
-    expire_task = asyncio.ensure_future(_expire(hub))
+    expire_task = asyncio.ensure_future(_expire(discovery))
     notify_task = asyncio.ensure_future(_notify_on_change(parts))
     cache_task = asyncio.ensure_future(
-        _maintain_endpoint_cache(hub, values, restored)
+        _maintain_endpoint_cache(discovery, values, restored)
     )
     stop_task = asyncio.ensure_future(stop.wait())
     await asyncio.wait(
@@ -101,30 +103,32 @@
     return EXIT_STORAGE if member.failure else process.EXIT_OK
 
 
-async def _expire(hub: hubs.Hub) -> None:
+async def _expire(discovery: discoveries.Discovery) -> None:
     while True:
         await asyncio.sleep(EXPIRE_INTERVAL_S)
-        hub.expire()
+        discovery.expire()
 
 
 async def _maintain_endpoint_cache(
-    hub: hubs.Hub, values: dict[str, Any], restored: list[directory.Endpoint]
+    discovery: discoveries.Discovery,
+    values: dict[str, Any],
+    restored: list[directory.Endpoint],
 ) -> None:
     """Removes unconfirmed restored endpoints, then saves every change."""
     heartbeat_s = values.get("endpoint_heartbeat_s", DEFAULT_HEARTBEAT_S)
     await asyncio.sleep(endpoint_cache.UNCONFIRMED_HEARTBEATS * heartbeat_s)
-    for name in endpoint_cache.unconfirmed(hub.directory, restored):
-        hub.drop(name)
+    for name in endpoint_cache.unconfirmed(discovery.directory, restored):
+        discovery.drop(name)
     saved_revision = -1
     loop = asyncio.get_running_loop()
     while True:
         latest_revision = max(
-            (row.news_revision for row in hub.directory.rows.values()),
+            (row.news_revision for row in discovery.directory.rows.values()),
             default=0,
         )
         if latest_revision != saved_revision:
             failure = await loop.run_in_executor(
-                None, endpoint_cache.save, values["data"], hub.directory
+                None, endpoint_cache.save, values["data"], discovery.directory
             )
             if failure is not None:
                 events.record(events.Event.DISK_REFUSED, failure)
@@ -137,7 +141,7 @@
     while True:
         changed = parts.member.changed
         await changed.wait()
-        parts.hub.notify_watches()
+        parts.discovery.notify_watches()
 
 
 def _log_start(values: dict[str, Any]) -> None:
--- a/src/_arbutuswalk/control/queries.py
+++ b/src/_arbutuswalk/control/queries.py
@@ -3,19 +3,19 @@
 from collections.abc import Callable
 from typing import Any
 
-from _arbutuswalk.control import hub as hubs
+from _arbutuswalk.control import discovery as discoveries
 from _arbutuswalk.state import routeconfig
 from _arbutuswalk.state import tables as rows
 
 
 def make_queries(
-    tables: rows.Tables, hub: hubs.Hub
+    tables: rows.Tables, discovery: discoveries.Discovery
 ) -> dict[str, Callable[[str], Any]]:
     """Returns the function that answers each query, by query name."""
     return {
         "published": lambda _: _published(tables),
         "routes": lambda _: _routes(tables),
-        "endpoints": lambda _: _endpoints(hub),
+        "endpoints": lambda _: _endpoints(discovery),
         "rollout": lambda upstream: _rollout(tables, upstream),
         "rollouts": lambda _: {
             upstream: row._asdict() for upstream, row in tables.rollouts.items()
@@ -42,16 +42,16 @@
     return {"version": config.version, "routes": described}
 
 
-def _endpoints(hub: hubs.Hub) -> dict[str, Any]:
-    loads = hub.loads()
-    now = hub.now()
+def _endpoints(discovery: discoveries.Discovery) -> dict[str, Any]:
+    loads = discovery.loads()
+    now = discovery.now()
     return {
         name: {
             **row.endpoint._asdict(),
             "running": loads.get(name, (0, 0))[0],
             "age_s": now - row.heard_at,
         }
-        for name, row in hub.directory.rows.items()
+        for name, row in discovery.directory.rows.items()
     }
 
 
--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -72,7 +72,7 @@
     row: rows.RolloutRow,
 ) -> commands.StepRollout | None:
     now = parts.member.now()
-    new, old = sum_outcomes(parts.hub.reports(), upstream, row.target)
+    new, old = sum_outcomes(parts.discovery.reports(), upstream, row.target)
     key = (upstream, row.target, row.started_ms)
     trial = trials.by_rollout.get(key)
     if trial is None:
@@ -129,7 +129,7 @@
         row.endpoint.upstream == upstream
         and row.endpoint.version == version
         and row.endpoint.state == directory.READY
-        for row in parts.hub.directory.rows.values()
+        for row in parts.discovery.directory.rows.values()
     )
 
 
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -37,7 +37,7 @@
 ) -> list[tuple[str, fleetplan.Order]]:
     """Returns the orders to place now, each with its upstream."""
     now = parts.member.now()
-    loads = parts.hub.loads()
+    loads = parts.discovery.loads()
     due_orders = []
     for upstream in _scaling_upstreams(parts, fleets):
         if _is_rolling_out(parts, upstream.name):
@@ -45,7 +45,7 @@
             continue
         rows = [
             row
-            for row in parts.hub.directory.rows.values()
+            for row in parts.discovery.directory.rows.values()
             if row.endpoint.upstream == upstream.name
         ]
         fleet = fleets.fleet(upstream.name)
--- a/src/_arbutuswalk/control/service.py
+++ b/src/_arbutuswalk/control/service.py
@@ -7,7 +7,7 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.base import settings
-from _arbutuswalk.control import hub as hubs
+from _arbutuswalk.control import discovery as discoveries
 from _arbutuswalk.control import leases
 from _arbutuswalk.control import member as members
 from _arbutuswalk.control import queries
@@ -33,17 +33,21 @@
         member: The group member that processes the requests.
         leases: Leases of entries, reset whenever the term changes.
         name: Process id for the dump.
-        hub: Directory of endpoints and entries.
+        discovery: Directory of endpoints and entries.
         term: Term that the leases belong to.
         extra_dump: Returns further values for the dump.
     """
 
     def __init__(
-        self, *, member: members.Member, name: str, hub: hubs.Hub | None = None
+        self,
+        *,
+        member: members.Member,
+        name: str,
+        discovery: discoveries.Discovery | None = None,
     ):
         self.member = member
         self.name = name
-        self.hub = hub or hubs.Hub(member=member)
+        self.discovery = discovery or discoveries.Discovery(member=member)
         self.leases = leases.Leases(leader_since=member.now())
         self.term = -1
         self.extra_dump = dict
@@ -63,12 +67,12 @@
         if isinstance(message, ttypes.Read):
             return await self._read(message)
         if isinstance(message, ttypes.Watch):
-            return await self.hub.watch(message)
+            return await self.discovery.watch(message)
         if isinstance(message, ttypes.RoutesRequest):
-            return self.hub.routes_part(message)
+            return self.discovery.routes_part(message)
         if isinstance(message, ttypes.UpstreamNews):
             for announcement in message.announcements:
-                self.hub.apply_announcement(
+                self.discovery.apply_announcement(
                     directory.from_json(json.loads(announcement))
                 )
             return None
@@ -185,7 +189,7 @@
             "inventory": lambda _: self.member.tables.inventory,
             "call": self._call,
             "alone": self._is_idle,
-            **queries.make_queries(self.member.tables, self.hub),
+            **queries.make_queries(self.member.tables, self.discovery),
             "replace": self._order_replacement,
         }
 
--- a/src/_arbutuswalk/control/usage_reports.py
+++ b/src/_arbutuswalk/control/usage_reports.py
@@ -76,7 +76,7 @@
 def sum_counts(parts: process.Parts, window: int) -> dict[str, int]:
     """Sums a window's counts over all incarnations of all entries."""
     totals: dict[str, int] = {}
-    for state in parts.hub.entries.values():
+    for state in parts.discovery.entries.values():
         for name, number in (
             _usage_by_window(state.report).get(str(window), {}).items()
         ):
@@ -91,17 +91,19 @@
     """
     own_wall = parts.member.wall()
     offsets = [0.0]
-    for state in parts.hub.reachable_entries().values():
+    for state in parts.discovery.reachable_entries().values():
         reported_wall = state.report.get("wall")
         if isinstance(reported_wall, int | float):
-            offsets.append(reported_wall - parts.hub.wall_at_last_watch(state))
+            offsets.append(
+                reported_wall - parts.discovery.wall_at_last_watch(state)
+            )
     return own_wall + statistics.median(offsets)
 
 
 def _reported_windows(parts: process.Parts) -> set[int]:
     return {
         int(window)
-        for state in parts.hub.entries.values()
+        for state in parts.discovery.entries.values()
         for window in _usage_by_window(state.report)
     }
 
--- a/testing/test_duties.py
+++ b/testing/test_duties.py
@@ -9,9 +9,9 @@
 import test_crashes
 
 from _arbutuswalk.agreement import types
+from _arbutuswalk.control import discovery as discoveries
 from _arbutuswalk.control import duties
 from _arbutuswalk.control import endpoint_cache
-from _arbutuswalk.control import hub as hubs
 from _arbutuswalk.control import process
 from _arbutuswalk.control import usage_reports
 from _arbutuswalk.routing import directory
@@ -56,14 +56,16 @@
 
 def make_parts():
     member = FakeMember()
-    return process.Parts("c", member, None, hubs.Hub(member=member))
+    return process.Parts(
+        "c", member, None, discoveries.Discovery(member=member)
+    )
 
 
-def watch(hub, entry="e1", incarnation=1, version=0, **report):
+def watch(discovery, entry="e1", incarnation=1, version=0, **report):
     return ttypes.Watch(
         entry=entry,
         incarnation=incarnation,
-        session=hub.session,
+        session=discovery.session,
         version=version,
         routes_version=0,
         report=packed.pack({"ready": True, "address": entry, **report}),
@@ -105,13 +107,13 @@
 class TestUsageReports:
     def test_counts_are_summed_over_entries_and_incarnations(self):
         parts = make_parts()
-        hub = parts.hub
+        discovery = parts.discovery
         for message in (
-            watch(hub, "e1", 1, usage={"7": {"a": 3}}),
-            watch(hub, "e1", 2, usage={"7": {"a": 4, "b": 1}}),
-            watch(hub, "e2", 1, usage={"7": {"a": 5}, "8": {"a": 9}}),
+            watch(discovery, "e1", 1, usage={"7": {"a": 3}}),
+            watch(discovery, "e1", 2, usage={"7": {"a": 4, "b": 1}}),
+            watch(discovery, "e2", 1, usage={"7": {"a": 5}, "8": {"a": 9}}),
         ):
-            hub._record_watch(message, 0)
+            discovery._record_watch(message, 0)
         assert usage_reports.sum_counts(parts, 7) == {"a": 12, "b": 1}
 
     def test_settled_windows_are_sent_until_they_are_accepted(self):
@@ -131,44 +133,44 @@
         parts = make_parts()
         for number in range(4):
             wall = 1_000_000.0 + 0.01 * number
-            message = watch(parts.hub, f"e{number}", wall=wall)
-            parts.hub._record_watch(message, 0)
+            message = watch(parts.discovery, f"e{number}", wall=wall)
+            parts.discovery._record_watch(message, 0)
         parts.member.wall_s += 2.0
         assert usage_reports.median_time(parts) == pytest.approx(
             1_000_000.0, abs=0.1
         )
 
 
-class TestHub:
+class TestDiscovery:
     async def test_an_update_is_returned_at_once(self):
-        hub = make_parts().hub
-        hub.apply_announcement(test_crashes.make_endpoint("a"))
-        reply = await hub.watch(watch(hub))
+        discovery = make_parts().discovery
+        discovery.apply_announcement(test_crashes.make_endpoint("a"))
+        reply = await discovery.watch(watch(discovery))
         news = packed.unpack(reply.news)
         assert [endpoint[0] for endpoint in news["endpoints"]] == ["a"]
-        assert reply.version == hub.directory.revision
+        assert reply.version == discovery.directory.revision
 
     async def test_a_change_ends_a_waiting_watch(self):
-        hub = make_parts().hub
-        first = await hub.watch(watch(hub))
+        discovery = make_parts().discovery
+        first = await discovery.watch(watch(discovery))
         waiting = asyncio.ensure_future(
-            hub.watch(watch(hub, version=first.version))
+            discovery.watch(watch(discovery, version=first.version))
         )
         await asyncio.sleep(0)
-        hub.apply_announcement(test_crashes.make_endpoint("a"))
+        discovery.apply_announcement(test_crashes.make_endpoint("a"))
         reply = await asyncio.wait_for(waiting, 10)
         assert packed.unpack(reply.news)["endpoints"]
 
     def test_a_configuration_is_announced_and_sent_in_parts(self, monkeypatch):
-        monkeypatch.setattr(hubs, "ROUTES_PART_BYTES", 7)
+        monkeypatch.setattr(discoveries, "ROUTES_PART_BYTES", 7)
         parts = make_parts()
         tables = parts.member.tables
         tables.routes_version, tables.routes = 4, {"version": 4, "routes": []}
-        assert parts.hub._build_update(0)["routes_version"] == 4
+        assert parts.discovery._build_update(0)["routes_version"] == 4
         data = b""
         while True:
             request = ttypes.RoutesRequest(offset=len(data))
-            part = parts.hub.routes_part(request)
+            part = parts.discovery.routes_part(request)
             data += part.data
             if len(data) >= part.size:
                 break
@@ -181,47 +183,47 @@
         """
         parts = make_parts()
         parts.member.tables.routes_version = 4
-        first = await parts.hub.watch(watch(parts.hub))
-        announced = watch(parts.hub, version=first.version)
-        assert parts.hub._has_update(announced, first.version)
+        first = await parts.discovery.watch(watch(parts.discovery))
+        announced = watch(parts.discovery, version=first.version)
+        assert parts.discovery._has_update(announced, first.version)
         announced.routes_version = 4
-        assert not parts.hub._has_update(announced, first.version)
+        assert not parts.discovery._has_update(announced, first.version)
 
     async def test_waits_until_every_entry_knows_that_an_endpoint_leaves(self):
         parts = make_parts()
-        hub = parts.hub
-        hub.apply_announcement(test_crashes.make_endpoint("a"))
-        hub._record_watch(watch(hub), hub.directory.revision)
-        hub.apply_announcement(
+        discovery = parts.discovery
+        discovery.apply_announcement(test_crashes.make_endpoint("a"))
+        discovery._record_watch(watch(discovery), discovery.directory.revision)
+        discovery.apply_announcement(
             test_crashes.make_endpoint("a", state=directory.LEAVING)
         )
-        confirming = asyncio.ensure_future(hub.confirm())
+        confirming = asyncio.ensure_future(discovery.confirm())
         await asyncio.sleep(0.05)
         assert not confirming.done()
-        hub._record_watch(watch(hub), hub.directory.revision)
+        discovery._record_watch(watch(discovery), discovery.directory.revision)
         assert await asyncio.wait_for(confirming, 10)
 
     def test_silent_entries_are_not_ready_but_still_known(self):
         parts = make_parts()
-        hub = parts.hub
-        hub._record_watch(watch(hub, "e1"), 0)
-        parts.member.time += hubs.ENTRY_SILENCE_TIMEOUT_S + 0.1
-        hub._record_watch(watch(hub, "e2"), 0)
-        assert [r["address"] for r in hub.ready_entries()] == ["e2"]
-        assert hub.known_entries() == {"e1", "e2"}
+        discovery = parts.discovery
+        discovery._record_watch(watch(discovery, "e1"), 0)
+        parts.member.time += discoveries.ENTRY_SILENCE_TIMEOUT_S + 0.1
+        discovery._record_watch(watch(discovery, "e2"), 0)
+        assert [r["address"] for r in discovery.ready_entries()] == ["e2"]
+        assert discovery.known_entries() == {"e1", "e2"}
 
     def test_an_entry_that_left_is_not_known(self):
-        hub = make_parts().hub
-        hub._record_watch(watch(hub, "e1", left=True), 0)
-        assert hub.known_entries() == set()
+        discovery = make_parts().discovery
+        discovery._record_watch(watch(discovery, "e1", left=True), 0)
+        assert discovery.known_entries() == set()
 
     def test_loads_and_used_quotas_are_summed(self):
-        hub = make_parts().hub
+        discovery = make_parts().discovery
         for name in ("e1", "e2"):
             report = {"loads": {"a": [2, 100]}, "taken": {"w": 5.0}}
-            hub._record_watch(watch(hub, name, **report), 0)
-        assert hub.loads() == {"a": (4, 200)}
-        assert hub.quota_taken() == {"w": 10.0}
+            discovery._record_watch(watch(discovery, name, **report), 0)
+        assert discovery.loads() == {"a": (4, 200)}
+        assert discovery.quota_taken() == {"w": 10.0}
 
 
 class TestEndpointCache:
