--- a/src/_arbutuswalk/control/discovery.py
+++ b/src/_arbutuswalk/control/discovery.py
@@ -107,7 +107,7 @@
             self.notify_watches()
         return is_change
 
-    def leave(self, endpoint_id: str, born_ms: int | None) -> bool:
+    def deregister(self, endpoint_id: str, born_ms: int | None) -> bool:
         """Applies a deregistration; returns whether it changed anything."""
         row = self.directory.rows.get(endpoint_id)
         if row is None:
@@ -121,7 +121,7 @@
         directories.forget(self.directory, endpoint_id)
         events.record(events.Event.ENDPOINT_FORGOTTEN, endpoint_id)
 
-    async def confirm(self) -> bool:
+    async def wait_for_entries(self) -> bool:
         """Waits until every reachable entry has the current directory.
 
         Returns:
--- a/testing/test_duties.py
+++ b/testing/test_duties.py
@@ -197,7 +197,7 @@
         discovery.apply_announcement(
             test_crashes.make_endpoint("a", state=directory.LEAVING)
         )
-        confirming = asyncio.ensure_future(discovery.confirm())
+        confirming = asyncio.ensure_future(discovery.wait_for_entries())
         await asyncio.sleep(0.05)
         assert not confirming.done()
         discovery._record_watch(watch(discovery), discovery.directory.revision)
