--- a/src/_arbutuswalk/control/duties.py
+++ b/src/_arbutuswalk/control/duties.py
@@ -77,15 +77,15 @@
         leading_since: When it became leader in that term, in seconds.
     """
 
-    def __init__(self, *, parts: process.Parts, options: Options):
-        self.parts = parts
+    def __init__(self, *, components: process.Components, options: Options):
+        self.components = components
         self.options = options
         self.term = 0
         self.leading_since = 0.0
 
     def may_act(self) -> bool:
         """Returns whether this process may perform the duties now."""
-        member = self.parts.member
+        member = self.components.member
         if not member.is_current:
             return False
         elapsed_s = member.now() - self.leading_since
@@ -93,7 +93,7 @@
 
     def update_term(self) -> bool:
         """Records a change of term; returns whether this process leads."""
-        member = self.parts.member
+        member = self.components.member
         term = member.replica.term if member.is_leader else 0
         if term != self.term:
             self.term = term
@@ -102,10 +102,10 @@
 
 
 async def run(
-    parts: process.Parts, platform_calls: Calls, options: Options
+    components: process.Components, platform_calls: Calls, options: Options
 ) -> None:
     """Performs the duties while this process holds them."""
-    holder = DutyHolder(parts=parts, options=options)
+    holder = DutyHolder(components=components, options=options)
     sent_reports = usage_reports.SentReports(window_s=options.window_s)
     fleets = scaling.Fleets()
     while True:
@@ -131,9 +131,13 @@
     platform_calls: Calls,
     sent_reports: usage_reports.SentReports,
 ) -> None:
-    parts, options = holder.parts, holder.options
-    await usage_reports.settle_due_windows(parts, sent_reports, options.delay_s)
-    for window, counts in usage_reports.unsent_windows(parts, sent_reports):
+    components, options = holder.components, holder.options
+    await usage_reports.settle_due_windows(
+        components, sent_reports, options.delay_s
+    )
+    for window, counts in usage_reports.unsent_windows(
+        components, sent_reports
+    ):
         if not holder.may_act():
             return
         report = UsageReport(window, counts, holder.term)
@@ -146,8 +150,8 @@
 async def _order_endpoints(
     holder: DutyHolder, platform_calls: Calls, fleets: scaling.Fleets
 ) -> None:
-    member = holder.parts.member
-    for upstream, planned in scaling.decide_orders(holder.parts, fleets):
+    member = holder.components.member
+    for upstream, planned in scaling.decide_orders(holder.components, fleets):
         if not holder.may_act():
             return
         order = Order(upstream, *planned, holder.term)
@@ -169,6 +173,6 @@
     events.record(
         events.Event.DUTY_CALL, duty, subject, holder.term, value, outcome
     )
-    holder.parts.discovery.metrics.count(
+    holder.components.discovery.metrics.count(
         "duty_calls", f'duty="{duty}",outcome="{outcome}"'
     )
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -27,7 +27,7 @@
 """Interval at which a changed directory of endpoints is saved."""
 
 
-class Parts(NamedTuple):
+class Components(NamedTuple):
     """Components of a control process that its interfaces use."""
 
     name: str
@@ -36,15 +36,15 @@
     discovery: discoveries.Discovery
 
 
-Close = Callable[[], Awaitable[None]]
-Front = Callable[[Parts], Awaitable[Close]]
+InterfaceCloser = Callable[[], Awaitable[None]]
+InterfaceStarter = Callable[[Components], Awaitable[InterfaceCloser]]
 """Starts an additional interface; returns the function that closes it."""
 
 
 async def run(
     values: dict[str, Any],
     durable_replica: replicated.Replicated,
-    front: Front | None = None,
+    start_interface: InterfaceStarter | None = None,
 ) -> int:
     """Runs the process until drained; returns its exit code."""
     failure = durable_replica.recover(clock.monotonic())
@@ -65,8 +65,12 @@
     await server.start()
     stop = asyncio.Event()
     process.on_signals(drain=stop.set, dump=request_service.dump)
-    parts = Parts(values["id"], member, request_service, discovery)
-    close_front = await front(parts) if front is not None else None
+    components = Components(values["id"], member, request_service, discovery)
+    close_interface = (
+        await start_interface(components)
+        if start_interface is not None
+        else None
+    )
     _log_start(values)
     leader_runner = leader_tasks.LeaderTasks(
         service=request_service, values=values
@@ -75,7 +79,7 @@
     member_task = asyncio.ensure_future(member.run())
     leader_task = asyncio.ensure_future(leader_runner.run())
     expire_task = asyncio.ensure_future(_expire(discovery))
-    notify_task = asyncio.ensure_future(_notify_on_change(parts))
+    notify_task = asyncio.ensure_future(_notify_on_change(components))
     cache_task = asyncio.ensure_future(
         _maintain_endpoint_cache(discovery, values, restored)
     )
@@ -94,8 +98,8 @@
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    if close_front is not None:
-        await close_front()
+    if close_interface is not None:
+        await close_interface()
     await leader_runner.close()
     await server.stop()
     await member.stop()
@@ -136,12 +140,12 @@
         await asyncio.sleep(SAVE_INTERVAL_S)
 
 
-async def _notify_on_change(parts: Parts) -> None:
+async def _notify_on_change(components: Components) -> None:
     """Wakes the entries' watches when the tables or the role change."""
     while True:
-        changed = parts.member.changed
+        changed = components.member.changed
         await changed.wait()
-        parts.discovery.notify_watches()
+        components.discovery.notify_watches()
 
 
 def _log_start(values: dict[str, Any]) -> None:
--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -30,53 +30,55 @@
         self.by_rollout: dict[tuple, rolloutplan.Trial] = {}
 
 
-async def run(parts: process.Parts, canary_share: float) -> None:
+async def run(components: process.Components, canary_share: float) -> None:
     """Advances rollouts while this process holds the leader lease.
 
     Args:
-        parts: Components of the process.
+        components: Components of the process.
         canary_share: Largest share of all requests until the rollout's
             deadline that a faulty version may receive.
     """
     trials = TermTrials(term=0)
     while True:
         await asyncio.sleep(TICK_INTERVAL_S)
-        member = parts.member
+        member = components.member
         if not member.is_current:
             continue
         if trials.term != member.replica.term:
             trials = TermTrials(term=member.replica.term)
         try:
-            await _tick(parts, canary_share, trials)
+            await _tick(components, canary_share, trials)
         except Exception as error:  # noqa: BLE001
             # An error in one rollout must not end the loop.
             events.warn(events.Event.TASK_FAILED, "rollouts", repr(error))
 
 
 async def _tick(
-    parts: process.Parts, canary_share: float, trials: TermTrials
+    components: process.Components, canary_share: float, trials: TermTrials
 ) -> None:
-    for upstream, row in list(parts.member.tables.rollouts.items()):
+    for upstream, row in list(components.member.tables.rollouts.items()):
         if row.state != rollouts.GROWING:
             continue
-        step = _decide(parts, canary_share, trials, upstream, row)
+        step = _decide(components, canary_share, trials, upstream, row)
         if step is not None:
-            await _submit(parts, step)
+            await _submit(components, step)
 
 
 def _decide(
-    parts: process.Parts,
+    components: process.Components,
     canary_share: float,
     trials: TermTrials,
     upstream: str,
     row: rows.RolloutRow,
 ) -> commands.StepRollout | None:
-    now = parts.member.now()
-    new, old = sum_outcomes(parts.discovery.reports(), upstream, row.target)
+    now = components.member.now()
+    new, old = sum_outcomes(
+        components.discovery.reports(), upstream, row.target
+    )
     key = (upstream, row.target, row.started_ms)
     trial = trials.by_rollout.get(key)
     if trial is None:
-        elapsed_s = (_now_ms(parts) - row.started_ms) / 1000
+        elapsed_s = (_now_ms(components) - row.started_ms) / 1000
         began_at = now - max(0.0, elapsed_s)
         trial = rolloutplan.Trial(new=new, old=old, began_at=began_at)
         trials.by_rollout[key] = trial
@@ -86,15 +88,17 @@
         trial,
         new=new,
         old=old,
-        present=_has_ready_endpoint(parts, upstream, row.target),
+        present=_has_ready_endpoint(components, upstream, row.target),
         canary_share=canary_share,
         now=now,
     )
 
 
-async def _submit(parts: process.Parts, step: commands.StepRollout) -> None:
+async def _submit(
+    components: process.Components, step: commands.StepRollout
+) -> None:
     outcome = await leader.submit(
-        parts.service, step, timeout_s=SUBMIT_TIMEOUT_S
+        components.service, step, timeout_s=SUBMIT_TIMEOUT_S
     )
     events.record(
         events.Event.ROLLOUT_STEPPED,
@@ -123,15 +127,15 @@
 
 
 def _has_ready_endpoint(
-    parts: process.Parts, upstream: str, version: str
+    components: process.Components, upstream: str, version: str
 ) -> bool:
     return any(
         row.endpoint.upstream == upstream
         and row.endpoint.version == version
         and row.endpoint.state == directory.READY
-        for row in parts.discovery.directory.rows.values()
+        for row in components.discovery.directory.rows.values()
     )
 
 
-def _now_ms(parts: process.Parts) -> int:
-    return int(parts.member.wall() * 1000)
+def _now_ms(components: process.Components) -> int:
+    return int(components.member.wall() * 1000)
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -33,19 +33,19 @@
 
 
 def decide_orders(
-    parts: process.Parts, fleets: Fleets
+    components: process.Components, fleets: Fleets
 ) -> list[tuple[str, fleetplan.Order]]:
     """Returns the orders to place now, each with its upstream."""
-    now = parts.member.now()
-    loads = parts.discovery.loads()
+    now = components.member.now()
+    loads = components.discovery.loads()
     due_orders = []
-    for upstream in _scaling_upstreams(parts, fleets):
-        if _is_rolling_out(parts, upstream.name):
+    for upstream in _scaling_upstreams(components, fleets):
+        if _is_rolling_out(components, upstream.name):
             # Two versions run in parallel; neither is surplus.
             continue
         rows = [
             row
-            for row in parts.discovery.directory.rows.values()
+            for row in components.discovery.directory.rows.values()
             if row.endpoint.upstream == upstream.name
         ]
         fleet = fleets.fleet(upstream.name)
@@ -89,15 +89,15 @@
             fleetplan.note_reclaim(fleet, endpoint.domain, now)
 
 
-def _is_rolling_out(parts: process.Parts, upstream: str) -> bool:
-    row = parts.member.tables.rollouts.get(upstream)
+def _is_rolling_out(components: process.Components, upstream: str) -> bool:
+    row = components.member.tables.rollouts.get(upstream)
     return row is not None and row.state == rollouts.GROWING
 
 
 def _scaling_upstreams(
-    parts: process.Parts, fleets: Fleets
+    components: process.Components, fleets: Fleets
 ) -> list[routeconfig.Upstream]:
-    tables = parts.member.tables
+    tables = components.member.tables
     if tables.routes is None:
         return []
     if fleets.routes_version != tables.routes_version:
--- a/src/_arbutuswalk/control/usage_reports.py
+++ b/src/_arbutuswalk/control/usage_reports.py
@@ -39,44 +39,46 @@
 
 
 async def settle_due_windows(
-    parts: process.Parts, sent_reports: SentReports, report_delay_s: float
+    components: process.Components,
+    sent_reports: SentReports,
+    report_delay_s: float,
 ) -> None:
     """Commits the counts of each window whose settlement delay has passed."""
-    settled = parts.member.tables.usage
-    now = median_time(parts)
+    settled = components.member.tables.usage
+    now = median_time(components)
     settle_delay_s = min(SETTLE_DELAY_S, report_delay_s / 2)
     newest_due = int((now - settle_delay_s) // sent_reports.window_s) - 1
-    reported = _reported_windows(parts)
+    reported = _reported_windows(components)
     for window in sorted(reported):
         if not newest_due - MAX_WINDOWS_BACK < window <= newest_due:
             continue
         if str(window) in settled:
             continue
-        counts = sum_counts(parts, window)
+        counts = sum_counts(components, window)
         if counts:
             command = commands.SettleUsage(window, counts)
             await leader.submit(
-                parts.service, command, timeout_s=SUBMIT_TIMEOUT_S
+                components.service, command, timeout_s=SUBMIT_TIMEOUT_S
             )
 
 
 def unsent_windows(
-    parts: process.Parts, sent_reports: SentReports
+    components: process.Components, sent_reports: SentReports
 ) -> list[tuple[int, dict[str, int]]]:
     """Returns settled windows not yet accepted from this process."""
-    newest = max(map(int, parts.member.tables.usage), default=0)
+    newest = max(map(int, components.member.tables.usage), default=0)
     return [
         (int(window), counts)
-        for window, counts in sorted(parts.member.tables.usage.items())
+        for window, counts in sorted(components.member.tables.usage.items())
         if int(window) not in sent_reports.accepted_windows
         and int(window) > newest - MAX_WINDOWS_BACK
     ]
 
 
-def sum_counts(parts: process.Parts, window: int) -> dict[str, int]:
+def sum_counts(components: process.Components, window: int) -> dict[str, int]:
     """Sums a window's counts over all incarnations of all entries."""
     totals: dict[str, int] = {}
-    for state in parts.discovery.entries.values():
+    for state in components.discovery.entries.values():
         for name, number in (
             _usage_by_window(state.report).get(str(window), {}).items()
         ):
@@ -84,26 +86,26 @@
     return totals
 
 
-def median_time(parts: process.Parts) -> float:
+def median_time(components: process.Components) -> float:
     """Returns the median wall clock time of this process and reachable entries.
 
     A single clock may have stepped by seconds.
     """
-    own_wall = parts.member.wall()
+    own_wall = components.member.wall()
     offsets = [0.0]
-    for state in parts.discovery.reachable_entries().values():
+    for state in components.discovery.reachable_entries().values():
         reported_wall = state.report.get("wall")
         if isinstance(reported_wall, int | float):
             offsets.append(
-                reported_wall - parts.discovery.wall_at_last_watch(state)
+                reported_wall - components.discovery.wall_at_last_watch(state)
             )
     return own_wall + statistics.median(offsets)
 
 
-def _reported_windows(parts: process.Parts) -> set[int]:
+def _reported_windows(components: process.Components) -> set[int]:
     return {
         int(window)
-        for state in parts.discovery.entries.values()
+        for state in components.discovery.entries.values()
         for window in _usage_by_window(state.report)
     }
 
--- a/testing/test_duties.py
+++ b/testing/test_duties.py
@@ -54,9 +54,9 @@
         raise AssertionError(f"unexpected message to {address}")
 
 
-def make_parts():
+def make_components():
     member = FakeMember()
-    return process.Parts(
+    return process.Components(
         "c", member, None, discoveries.Discovery(member=member)
     )
 
@@ -74,76 +74,78 @@
 
 class TestDutyHolder:
     def test_new_leader_waits_until_the_previous_lease_expires(self):
-        parts = make_parts()
-        holder = duties.DutyHolder(parts=parts, options=OPTIONS)
+        components = make_components()
+        holder = duties.DutyHolder(components=components, options=OPTIONS)
         assert holder.update_term()
         assert not holder.may_act()
-        parts.member.time += OPTIONS.lease_s
+        components.member.time += OPTIONS.lease_s
         assert not holder.may_act()
-        parts.member.time += duties.IN_FLIGHT_MARGIN_S + 0.01
+        components.member.time += duties.IN_FLIGHT_MARGIN_S + 0.01
         assert holder.may_act()
 
     def test_it_waits_again_after_reelection(self):
-        parts = make_parts()
-        holder = duties.DutyHolder(parts=parts, options=OPTIONS)
+        components = make_components()
+        holder = duties.DutyHolder(components=components, options=OPTIONS)
         holder.update_term()
-        parts.member.time += 10
-        parts.member.is_leader = False
+        components.member.time += 10
+        components.member.is_leader = False
         assert not holder.update_term()
-        parts.member.is_leader = True
-        parts.member.replica.term = 3
+        components.member.is_leader = True
+        components.member.replica.term = 3
         holder.update_term()
         assert not holder.may_act()
 
     def test_it_may_not_act_without_the_leader_lease(self):
-        parts = make_parts()
-        holder = duties.DutyHolder(parts=parts, options=OPTIONS)
+        components = make_components()
+        holder = duties.DutyHolder(components=components, options=OPTIONS)
         holder.update_term()
-        parts.member.time += 10
-        parts.member.is_current = False
+        components.member.time += 10
+        components.member.is_current = False
         assert not holder.may_act()
 
 
 class TestUsageReports:
     def test_counts_are_summed_over_entries_and_incarnations(self):
-        parts = make_parts()
-        discovery = parts.discovery
+        components = make_components()
+        discovery = components.discovery
         for message in (
             watch(discovery, "e1", 1, usage={"7": {"a": 3}}),
             watch(discovery, "e1", 2, usage={"7": {"a": 4, "b": 1}}),
             watch(discovery, "e2", 1, usage={"7": {"a": 5}, "8": {"a": 9}}),
         ):
             discovery._record_watch(message, 0)
-        assert usage_reports.sum_counts(parts, 7) == {"a": 12, "b": 1}
+        assert usage_reports.sum_counts(components, 7) == {"a": 12, "b": 1}
 
     def test_settled_windows_are_sent_until_they_are_accepted(self):
-        parts = make_parts()
+        components = make_components()
         reports = usage_reports.SentReports(window_s=5.0)
-        parts.member.tables.usage = {"7": {"a": 1}, "8": {"a": 2}}
-        assert usage_reports.unsent_windows(parts, reports) == [
+        components.member.tables.usage = {"7": {"a": 1}, "8": {"a": 2}}
+        assert usage_reports.unsent_windows(components, reports) == [
             (7, {"a": 1}),
             (8, {"a": 2}),
         ]
         reports.accepted_windows.add(7)
-        assert usage_reports.unsent_windows(parts, reports) == [(8, {"a": 2})]
+        assert usage_reports.unsent_windows(components, reports) == [
+            (8, {"a": 2})
+        ]
         reports.clear()
-        assert len(usage_reports.unsent_windows(parts, reports)) == 2
+        assert len(usage_reports.unsent_windows(components, reports)) == 2
 
     def test_median_ignores_one_clock_that_stepped(self):
-        parts = make_parts()
+        components = make_components()
         for number in range(4):
             wall = 1_000_000.0 + 0.01 * number
-            message = watch(parts.discovery, f"e{number}", wall=wall)
-            parts.discovery._record_watch(message, 0)
-        parts.member.wall_s += 2.0
-        assert usage_reports.median_time(parts) == pytest.approx(
+            message = watch(components.discovery, f"e{number}", wall=wall)
+            components.discovery._record_watch(message, 0)
+        components.member.wall_s += 2.0
+        assert usage_reports.median_time(components) == pytest.approx(
             1_000_000.0, abs=0.1
         )
 
 
 class TestDiscovery:
     async def test_an_update_is_returned_at_once(self):
-        discovery = make_parts().discovery
+        discovery = make_components().discovery
         discovery.apply_announcement(test_crashes.make_endpoint("a"))
         reply = await discovery.watch(watch(discovery))
         news = packed.unpack(reply.news)
@@ -151,7 +153,7 @@
         assert reply.version == discovery.directory.revision
 
     async def test_a_change_ends_a_waiting_watch(self):
-        discovery = make_parts().discovery
+        discovery = make_components().discovery
         first = await discovery.watch(watch(discovery))
         waiting = asyncio.ensure_future(
             discovery.watch(watch(discovery, version=first.version))
@@ -163,14 +165,14 @@
 
     def test_a_configuration_is_announced_and_sent_in_parts(self, monkeypatch):
         monkeypatch.setattr(discoveries, "ROUTES_PART_BYTES", 7)
-        parts = make_parts()
-        tables = parts.member.tables
+        components = make_components()
+        tables = components.member.tables
         tables.routes_version, tables.routes = 4, {"version": 4, "routes": []}
-        assert parts.discovery._build_update(0)["routes_version"] == 4
+        assert components.discovery._build_update(0)["routes_version"] == 4
         data = b""
         while True:
             request = ttypes.RoutesRequest(offset=len(data))
-            part = parts.discovery.routes_part(request)
+            part = components.discovery.routes_part(request)
             data += part.data
             if len(data) >= part.size:
                 break
@@ -181,17 +183,17 @@
 
         If the version were announced again, each watch would end at once.
         """
-        parts = make_parts()
-        parts.member.tables.routes_version = 4
-        first = await parts.discovery.watch(watch(parts.discovery))
-        announced = watch(parts.discovery, version=first.version)
-        assert parts.discovery._has_update(announced, first.version)
+        components = make_components()
+        components.member.tables.routes_version = 4
+        first = await components.discovery.watch(watch(components.discovery))
+        announced = watch(components.discovery, version=first.version)
+        assert components.discovery._has_update(announced, first.version)
         announced.routes_version = 4
-        assert not parts.discovery._has_update(announced, first.version)
+        assert not components.discovery._has_update(announced, first.version)
 
     async def test_waits_until_every_entry_knows_that_an_endpoint_leaves(self):
-        parts = make_parts()
-        discovery = parts.discovery
+        components = make_components()
+        discovery = components.discovery
         discovery.apply_announcement(test_crashes.make_endpoint("a"))
         discovery._record_watch(watch(discovery), discovery.directory.revision)
         discovery.apply_announcement(
@@ -204,21 +206,21 @@
         assert await asyncio.wait_for(confirming, 10)
 
     def test_silent_entries_are_not_ready_but_still_known(self):
-        parts = make_parts()
-        discovery = parts.discovery
+        components = make_components()
+        discovery = components.discovery
         discovery._record_watch(watch(discovery, "e1"), 0)
-        parts.member.time += discoveries.ENTRY_SILENCE_TIMEOUT_S + 0.1
+        components.member.time += discoveries.ENTRY_SILENCE_TIMEOUT_S + 0.1
         discovery._record_watch(watch(discovery, "e2"), 0)
         assert [r["address"] for r in discovery.ready_entries()] == ["e2"]
         assert discovery.known_entries() == {"e1", "e2"}
 
     def test_an_entry_that_left_is_not_known(self):
-        discovery = make_parts().discovery
+        discovery = make_components().discovery
         discovery._record_watch(watch(discovery, "e1", left=True), 0)
         assert discovery.known_entries() == set()
 
     def test_loads_and_used_quotas_are_summed(self):
-        discovery = make_parts().discovery
+        discovery = make_components().discovery
         for name in ("e1", "e2"):
             report = {"loads": {"a": [2, 100]}, "taken": {"w": 5.0}}
             discovery._record_watch(watch(discovery, name, **report), 0)
