--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from _arbutuswalk.base import events
-from _arbutuswalk.control import leader
+from _arbutuswalk.control import leader_client
 from _arbutuswalk.control import process
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import commands
@@ -97,7 +97,7 @@
 async def _submit(
     components: process.Components, step: commands.StepRollout
 ) -> None:
-    outcome = await leader.submit(
+    outcome = await leader_client.submit(
         components.service, step, timeout_s=SUBMIT_TIMEOUT_S
     )
     events.record(
--- a/src/_arbutuswalk/control/usage_reports.py
+++ b/src/_arbutuswalk/control/usage_reports.py
@@ -7,7 +7,7 @@
 import statistics
 from typing import Any
 
-from _arbutuswalk.control import leader
+from _arbutuswalk.control import leader_client
 from _arbutuswalk.control import process
 from _arbutuswalk.state import commands
 
@@ -57,7 +57,7 @@
         counts = sum_counts(components, window)
         if counts:
             command = commands.SettleUsage(window, counts)
-            await leader.submit(
+            await leader_client.submit(
                 components.service, command, timeout_s=SUBMIT_TIMEOUT_S
             )
 
