--- a/bench/control.py
+++ b/bench/control.py
@@ -8,7 +8,7 @@
 import time
 
 from _arbutuswalk.agreement import types
-from _arbutuswalk.control import replicated
+from _arbutuswalk.control import durable_replica
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import machine
@@ -103,9 +103,9 @@
 
 
 def make_core(path, snapshot_every=10**9):
-    core = replicated.Replicated(
+    core = durable_replica.DurableReplica(
         data=folder.Folder(path=path),
-        identity=replicated.Identity("127.0.0.1:1", ("127.0.0.1:1",), 1),
+        identity=durable_replica.Identity("127.0.0.1:1", ("127.0.0.1:1",), 1),
         timing=types.Timing(),
         rng=random.Random(1),
         snapshot_every=snapshot_every,
--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/durable_replica.py
@@ -58,7 +58,7 @@
     outcome: outcomes.Outcome | None
 
 
-class Replicated:
+class DurableReplica:
     """A replica, its write-ahead log and the tables on top.
 
     Attributes:
--- a/src/_arbutuswalk/control/main.py
+++ b/src/_arbutuswalk/control/main.py
@@ -8,8 +8,8 @@
 from _arbutuswalk.agreement import types
 from _arbutuswalk.base import process
 from _arbutuswalk.base import settings
+from _arbutuswalk.control import durable_replica
 from _arbutuswalk.control import process as processes
-from _arbutuswalk.control import replicated
 from _arbutuswalk.storage import folder
 
 FIELDS = (
@@ -43,11 +43,13 @@
 """Leader lease as a fraction of the election timeout."""
 
 
-def make_durable_replica(values: dict[str, Any]) -> replicated.Replicated:
+def make_durable_replica(
+    values: dict[str, Any],
+) -> durable_replica.DurableReplica:
     """Returns the member's replica and its data folder, before recovery."""
-    return replicated.Replicated(
+    return durable_replica.DurableReplica(
         data=folder.Folder(path=values["data"]),
-        identity=replicated.Identity(
+        identity=durable_replica.Identity(
             address=values["address"],
             peers=tuple(values["peers"]),
             target_voters=values["voters"],
--- a/src/_arbutuswalk/control/member.py
+++ b/src/_arbutuswalk/control/member.py
@@ -16,7 +16,7 @@
 from _arbutuswalk.agreement import types
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import events
-from _arbutuswalk.control import replicated
+from _arbutuswalk.control import durable_replica as durable_replicas
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.storage import errors
@@ -72,7 +72,7 @@
     def __init__(
         self,
         *,
-        durable_replica: replicated.Replicated,
+        durable_replica: durable_replicas.DurableReplica,
         now: clock.Clock = clock.monotonic,
         wall: clock.Clock = clock.wall,
     ):
@@ -230,7 +230,7 @@
         if self.durable_replica.applied != before:
             self._notify_changed()
 
-    def _resolve_pending(self, applied: replicated.Applied) -> None:
+    def _resolve_pending(self, applied: durable_replicas.Applied) -> None:
         pending = self.pending.pop(applied.index, None)
         if pending is None or pending.future.done():
             return
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -10,10 +10,10 @@
 from _arbutuswalk.base import events
 from _arbutuswalk.base import process
 from _arbutuswalk.control import discovery as discoveries
+from _arbutuswalk.control import durable_replica as durable_replicas
 from _arbutuswalk.control import endpoint_cache
 from _arbutuswalk.control import leader_tasks
 from _arbutuswalk.control import member as members
-from _arbutuswalk.control import replicated
 from _arbutuswalk.control import service
 from _arbutuswalk.routing import directory
 from _arbutuswalk.storage import errors
@@ -43,7 +43,7 @@
 
 async def run(
     values: dict[str, Any],
-    durable_replica: replicated.Replicated,
+    durable_replica: durable_replicas.DurableReplica,
     start_interface: InterfaceStarter | None = None,
 ) -> int:
     """Runs the process until drained; returns its exit code."""
--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -5,7 +5,7 @@
 from _arbutuswalk.agreement import lease
 from _arbutuswalk.agreement import membership
 from _arbutuswalk.agreement import types
-from _arbutuswalk.control import replicated
+from _arbutuswalk.control import durable_replica
 from _arbutuswalk.state import commands
 from _arbutuswalk.storage import errors
 
@@ -98,9 +98,9 @@
         self.crash_at = None
 
     def start(self):
-        self.core = replicated.Replicated(
+        self.core = durable_replica.DurableReplica(
             data=self.folder,
-            identity=replicated.Identity(
+            identity=durable_replica.Identity(
                 self.address, self.peers, self.cluster.target_voters
             ),
             timing=TIMING,
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -15,7 +15,7 @@
 from _arbutuswalk.agreement import terms
 from _arbutuswalk.agreement import transfer
 from _arbutuswalk.agreement import types
-from _arbutuswalk.control import replicated
+from _arbutuswalk.control import durable_replica
 from _arbutuswalk.state import commands
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
@@ -252,7 +252,7 @@
 
     def test_disk_loss_that_keeps_the_member_id(self, monkeypatch):
         monkeypatch.setattr(
-            replicated.Replicated,
+            durable_replica.DurableReplica,
             "_member_id",
             lambda self: f"{self.identity.address}/same",
         )
