--- a/src/_arbutuswalk/control/durable_replica.py
+++ b/src/_arbutuswalk/control/durable_replica.py
@@ -1,8 +1,8 @@
 """One replica with its write-ahead log and tables, without an event loop.
 
 The process drives it from asyncio; the fuzz tests drive the same code on a
-fake folder, network and clock. A round is: ``step``, ``take``, send ``early``,
-``persist``, ``saved``, send ``late``, ``apply_next``.
+fake folder, network and clock. A round is: ``step``, ``take_ready``, send
+``early``, ``persist``, ``saved``, send ``late``, ``apply_next``.
 """
 
 import random
@@ -172,7 +172,7 @@
         payload = types.COMMAND + machine.stamp_encoded(command, at_ms)
         return replication.propose(self.replica, payload, now)
 
-    def take(self) -> types.Ready:
+    def take_ready(self) -> types.Ready:
         """Returns the messages and the state to persist in this round."""
         return replicas.take_ready(self.replica)
 
--- a/src/_arbutuswalk/control/member.py
+++ b/src/_arbutuswalk/control/member.py
@@ -189,7 +189,7 @@
 
     async def _persist_and_send(self) -> None:
         """Sends early messages, persists the round, then sends late ones."""
-        ready = self.durable_replica.take()
+        ready = self.durable_replica.take_ready()
         self._send(ready.early)
         unsaved = ready.snapshot or ready.vote or ready.entries
         if unsaved or ready.commit is not None:
--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -191,7 +191,7 @@
         inbox, node.inbox = node.inbox, []
         core = node.core
         core.step(inbox, self.now)
-        ready = core.take()
+        ready = core.take_ready()
         self._send(node, ready.early)
         if crash_at == "before_sync":
             node.crash()
