--- a/src/_arbutuswalk/control/duties.py
+++ b/src/_arbutuswalk/control/duties.py
@@ -20,9 +20,9 @@
 TICK_INTERVAL_S = 0.25
 IN_FLIGHT_MARGIN_S = 0.3
 """Added to the platform's lease, for the predecessor's calls in flight."""
-DONE = "done"
+ACCEPTED = "done"
 """Outcome of a call that the platform accepted."""
-NONE_LEFT = "none left"
+NO_CAPACITY = "none left"
 """Outcome of an order for which the platform has no capacity at present."""
 
 
@@ -44,7 +44,7 @@
     fence: int
 
 
-class Calls(NamedTuple):
+class PlatformCalls(NamedTuple):
     """Functions that call the platform; each returns its outcome as text."""
 
     report_usage: Callable[[UsageReport], Awaitable[str]]
@@ -102,7 +102,9 @@
 
 
 async def run(
-    components: process.Components, platform_calls: Calls, options: Options
+    components: process.Components,
+    platform_calls: PlatformCalls,
+    options: Options,
 ) -> None:
     """Performs the duties while this process holds them."""
     holder = DutyHolder(components=components, options=options)
@@ -128,7 +130,7 @@
 
 async def _report_usage(
     holder: DutyHolder,
-    platform_calls: Calls,
+    platform_calls: PlatformCalls,
     sent_reports: usage_reports.SentReports,
 ) -> None:
     components, options = holder.components, holder.options
@@ -143,12 +145,12 @@
         report = UsageReport(window, counts, holder.term)
         outcome = await platform_calls.report_usage(report)
         _record_call(holder, "usage", window, counts, outcome)
-        if outcome == DONE:
+        if outcome == ACCEPTED:
             sent_reports.accepted_windows.add(window)
 
 
 async def _order_endpoints(
-    holder: DutyHolder, platform_calls: Calls, fleets: scaling.Fleets
+    holder: DutyHolder, platform_calls: PlatformCalls, fleets: scaling.Fleets
 ) -> None:
     member = holder.components.member
     for upstream, planned in scaling.decide_orders(holder.components, fleets):
@@ -162,7 +164,7 @@
         fleetplan.note_outcome(
             fleets.fleet(upstream),
             planned,
-            accepted=outcome == DONE,
+            accepted=outcome == ACCEPTED,
             now=member.now(),
         )
 
