--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -89,7 +89,7 @@
     if isinstance(opened, pools.NotOpened):
         return NotOpened(reason=opened.reason)
     exchange = connections.Exchange(
-        sent_id=order.attempt_id, has_body=order.method != "HEAD"
+        expected_id=order.attempt_id, has_body=order.method != "HEAD"
     )
     opened.begin(encode(order), exchange)
     try:
@@ -113,19 +113,19 @@
     """Collects a whole answer whose end can be told from a cut."""
     body = bytearray()
     while True:
-        body += exchange.take()
+        body += exchange.take_body()
         opened.taken()
         if attempts.crossed(exchange, order.echo):
-            got = exchange.crossed_id
+            got = exchange.mismatched_id
             return Lost(reason=f"answer to another attempt: {got!r}")
         if opened.until_close:
             return Lost(reason="answer without length or end marker")
         if len(body) > MAX_REPLY_BYTES:
             return Lost(reason="answer too large")
-        if exchange.over:
+        if exchange.ended:
             break
         left_s = until - clock.monotonic()
-        if not await exchange.news_within(left_s):
+        if not await exchange.wait_for_change(left_s):
             return Lost(reason="no whole answer in time")
     if not exchange.complete:
         return Lost(reason=exchange.failure)
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -52,7 +52,7 @@
         self.started = relay.now()
         self.first_s = 0.0
         self.exchange = connections.Exchange(
-            sent_id=self.request.id,
+            expected_id=self.request.id,
             has_body=self.request.method != "HEAD",
         )
 
@@ -95,7 +95,7 @@
             rank=min(MAX_RANK, self.request.priority),
         )
         data = self.relay.dialect.encode(self.request, send)
-        self.delivery.wake = self.exchange.news.set
+        self.delivery.wake = self.exchange.changed.set
         opened.begin(data, self.exchange)
         result = await self._follow(opened)
         self._let_go(opened, result)
@@ -116,7 +116,7 @@
     async def _follow(self, opened: connections.Connection) -> results.Result:
         """Waits for the answer's head, then for the rest in its way."""
         deadline = self.request.deadline + ANSWER_GRACE_S
-        while self.exchange.reply is None and not self.exchange.over:
+        while self.exchange.reply is None and not self.exchange.ended:
             ended = await self._news(deadline)
             if ended is not None:
                 return ended
@@ -140,11 +140,11 @@
         """Collects a whole answer; nothing of it has gone out yet."""
         body = bytearray()
         while True:
-            body += self.exchange.take()
+            body += self.exchange.take_body()
             opened.taken()
             if len(body) > MAX_WHOLE_BYTES:
                 return self._lost(f"answer over {MAX_WHOLE_BYTES} bytes")
-            if self.exchange.over:
+            if self.exchange.ended:
                 break
             ended = await self._news(deadline)
             if ended is not None:
@@ -167,7 +167,7 @@
         begun = False
         await self.delivery.start(self.exchange.status, self.exchange.headers)
         while True:
-            data = self.exchange.take()
+            data = self.exchange.take_body()
             opened.taken()
             if data:
                 if not begun:
@@ -176,7 +176,7 @@
                     self._count_begun(self.relay.now())
                 begun = True
                 await self.delivery.feed(data)
-            if self.exchange.over and not self.exchange.pieces:
+            if self.exchange.ended and not self.exchange.chunks:
                 break
             ended = await self._news(deadline, stalls=begun)
             if ended is not None:
@@ -194,10 +194,10 @@
         until = deadline
         may_resume = stalls and self.request.route.resumable
         if may_resume:
-            until = min(until, self.exchange.heard_at + STALL_S)
+            until = min(until, self.exchange.last_received_at + STALL_S)
         if self.delivery.left:
             return results.CallerLeft()
-        if not await self.exchange.news_within(until - now):
+        if not await self.exchange.wait_for_change(until - now):
             if until < deadline:
                 return self._lost("stream stalled")
             return results.TimedOut(reason="no time left")
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -130,7 +130,7 @@
         self.feed = feed
         self.echo = echo
         self.exchange = connections.Exchange(
-            sent_id=attempt_id, has_body=True, feed=self.receive_body
+            expected_id=attempt_id, has_body=True, on_body=self.receive_body
         )
         self.framer = framing.Framer()
         self.result: Result | None = None
@@ -211,14 +211,16 @@
     if not await _wait_for_headers(exchange, deadlines.first_byte_s):
         return Silent(after_s=deadlines.first_byte_s)
     if crossed(exchange, state.echo):
-        return Crossed(got=exchange.crossed_id)
-    while not exchange.over:
-        remaining_s = exchange.heard_at + deadlines.gap_s - clock.monotonic()
+        return Crossed(got=exchange.mismatched_id)
+    while not exchange.ended:
+        remaining_s = (
+            exchange.last_received_at + deadlines.gap_s - clock.monotonic()
+        )
         if remaining_s <= 0:
             return _with_cached_tokens(
                 exchange, Silent(after_s=deadlines.gap_s)
             )
-        await exchange.news_within(remaining_s)
+        await exchange.wait_for_change(remaining_s)
     if state.result is not None:
         return _with_cached_tokens(exchange, state.result)
     if exchange.status and exchange.status != STATUS_OK:
@@ -233,8 +235,8 @@
 ) -> bool:
     """Waits for the headers or the end; returns false on a timeout."""
     deadline = clock.monotonic() + timeout_s
-    while not (exchange.reply or exchange.crossed_id or exchange.over):
-        if not await exchange.news_within(deadline - clock.monotonic()):
+    while not (exchange.reply or exchange.mismatched_id or exchange.ended):
+        if not await exchange.wait_for_change(deadline - clock.monotonic()):
             return False
     return True
 
@@ -246,7 +248,7 @@
         exchange: Exchange whose headers have been received.
         echo: Whether the upstream echoes the attempt id.
     """
-    if exchange.crossed_id:
+    if exchange.mismatched_id:
         return True
     return bool(exchange.reply) and echo and not exchange.reply.answers
 
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -24,63 +24,63 @@
     """One request on a connection and the response to it.
 
     Attributes:
-        sent_id: Id that the response must carry.
+        expected_id: Id that the response must carry.
         has_body: Whether a response to this method has a body.
-        feed: Called with each chunk of the body directly from the parser, so
+        on_body: Called with each chunk of the body directly from the parser, so
             that no task is woken per chunk; None to buffer the chunks.
-        crossed_id: Id of a received response that belongs to another exchange.
+        mismatched_id: Id of a received response to another exchange, or empty.
         status: Status of the response, 0 before it is known.
         headers: Headers of the response.
         reply: Interpretation of status and headers, None before they are known.
-        pieces: Buffered chunks of the body.
-        waiting_bytes: Total size of the buffered chunks.
+        chunks: Buffered chunks of the body.
+        buffered_bytes: Total size of the buffered chunks.
         complete: Whether the response has been received completely.
         failure: Why the response ended early, empty if it has not.
-        heard_at: When data was last received.
-        news: Set when any of these has changed.
+        last_received_at: When data was last received.
+        changed: Set when any of these has changed.
     """
 
     def __init__(
         self,
         *,
-        sent_id: str,
+        expected_id: str,
         has_body: bool,
-        feed: Callable[[bytes], None] | None = None,
+        on_body: Callable[[bytes], None] | None = None,
     ):
-        self.sent_id = sent_id
+        self.expected_id = expected_id
         self.has_body = has_body
-        self.feed = feed
-        self.crossed_id = ""
+        self.on_body = on_body
+        self.mismatched_id = ""
         self.status = 0
         self.headers: replies.Headers = []
         self.reply: replies.Reply | None = None
-        self.pieces: collections.deque[bytes] = collections.deque()
-        self.waiting_bytes = 0
+        self.chunks: collections.deque[bytes] = collections.deque()
+        self.buffered_bytes = 0
         self.complete = False
         self.failure = ""
-        self.heard_at = clock.monotonic()
-        self.news = asyncio.Event()
+        self.last_received_at = clock.monotonic()
+        self.changed = asyncio.Event()
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Whether the response is complete or has failed."""
         return self.complete or bool(self.failure)
 
-    async def news_within(self, timeout_s: float) -> bool:
+    async def wait_for_change(self, timeout_s: float) -> bool:
         """Waits for the next change; returns false on a timeout."""
-        self.news.clear()
+        self.changed.clear()
         try:
             async with asyncio.timeout(max(0.0, timeout_s)):
-                await self.news.wait()
+                await self.changed.wait()
         except TimeoutError:
             return False
         return True
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """Removes and returns the buffered part of the body."""
-        data = b"".join(self.pieces)
-        self.pieces.clear()
-        self.waiting_bytes = 0
+        data = b"".join(self.chunks)
+        self.chunks.clear()
+        self.buffered_bytes = 0
         return data
 
 
@@ -146,7 +146,7 @@
         if exchange is None:
             self.abort()
             return
-        exchange.heard_at = clock.monotonic()
+        exchange.last_received_at = clock.monotonic()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -168,7 +168,7 @@
         """Starts a response; an unexpected one excludes reuse."""
         self.headers = []
         self.header_bytes = 0
-        if self.exchange is None or self.exchange.over:
+        if self.exchange is None or self.exchange.ended:
             self.usable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -182,14 +182,14 @@
         """Stores status and headers if they belong to this exchange."""
         self.status = self.parser.get_status_code()
         exchange = self.exchange
-        if exchange is None or exchange.over or self._is_interim():
+        if exchange is None or exchange.ended or self._is_interim():
             return
         reply = self.read(self.status, self.headers)
-        self.ignoring_body = reply.answers not in ("", exchange.sent_id)
+        self.ignoring_body = reply.answers not in ("", exchange.expected_id)
         if self.ignoring_body:
             self.usable = False
-            exchange.crossed_id = reply.answers
-            exchange.news.set()
+            exchange.mismatched_id = reply.answers
+            exchange.changed.set()
             return
         self.until_close = exchange.has_body and self._body_ends_at_close()
         if self.until_close or reply.closing:
@@ -198,7 +198,7 @@
         exchange.status = self.status
         exchange.headers = self.headers
         exchange.reply = reply
-        exchange.news.set()
+        exchange.changed.set()
         if not exchange.has_body:
             self.usable = False
             self._complete()
@@ -206,16 +206,16 @@
     def on_body(self, data: bytes) -> None:
         """Buffers a chunk of the body or passes it to the callback."""
         exchange = self.exchange
-        if exchange is None or exchange.over or self.ignoring_body:
+        if exchange is None or exchange.ended or self.ignoring_body:
             return
-        if exchange.feed is not None:
-            exchange.feed(data)
+        if exchange.on_body is not None:
+            exchange.on_body(data)
             return
-        exchange.pieces.append(data)
-        exchange.waiting_bytes += len(data)
-        if exchange.waiting_bytes > PAUSE_BYTES:
+        exchange.chunks.append(data)
+        exchange.buffered_bytes += len(data)
+        if exchange.buffered_bytes > PAUSE_BYTES:
             self.transport.pause_reading()
-        exchange.news.set()
+        exchange.changed.set()
 
     def on_message_complete(self) -> None:
         """Completes the response, unless it is interim or mismatched."""
@@ -252,13 +252,13 @@
 
     def _complete(self) -> None:
         exchange = self.exchange
-        if exchange is not None and not exchange.over:
+        if exchange is not None and not exchange.ended:
             exchange.complete = True
-            exchange.news.set()
+            exchange.changed.set()
 
     def _set_failure(self, reason: str) -> None:
         self.usable = False
         exchange = self.exchange
-        if exchange is not None and not exchange.over:
+        if exchange is not None and not exchange.ended:
             exchange.failure = reason
-            exchange.news.set()
+            exchange.changed.set()
