--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -91,7 +91,7 @@
     exchange = connections.Exchange(
         expected_id=order.attempt_id, has_body=order.method != "HEAD"
     )
-    opened.begin(encode(order), exchange)
+    opened.send_request(encode(order), exchange)
     try:
         result = await _follow(opened, exchange, order, until)
     except BaseException:
@@ -114,11 +114,11 @@
     body = bytearray()
     while True:
         body += exchange.take_body()
-        opened.taken()
+        opened.resume_reading()
         if attempts.crossed(exchange, order.echo):
             got = exchange.mismatched_id
             return Lost(reason=f"answer to another attempt: {got!r}")
-        if opened.until_close:
+        if opened.ends_at_close:
             return Lost(reason="answer without length or end marker")
         if len(body) > MAX_REPLY_BYTES:
             return Lost(reason="answer too large")
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -96,7 +96,7 @@
         )
         data = self.relay.dialect.encode(self.request, send)
         self.delivery.wake = self.exchange.changed.set
-        opened.begin(data, self.exchange)
+        opened.send_request(data, self.exchange)
         result = await self._follow(opened)
         self._let_go(opened, result)
         return result
@@ -141,7 +141,7 @@
         body = bytearray()
         while True:
             body += self.exchange.take_body()
-            opened.taken()
+            opened.resume_reading()
             if len(body) > MAX_WHOLE_BYTES:
                 return self._lost(f"answer over {MAX_WHOLE_BYTES} bytes")
             if self.exchange.ended:
@@ -168,7 +168,7 @@
         await self.delivery.start(self.exchange.status, self.exchange.headers)
         while True:
             data = self.exchange.take_body()
-            opened.taken()
+            opened.resume_reading()
             if data:
                 if not begun:
                     self.first_s = self.relay.now() - self.started
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -198,7 +198,7 @@
     if isinstance(connection, pool.NotOpened):
         return NotConnected(reason=connection.reason)
     state.abort = connection.abort
-    connection.begin(_encode_request(order), state.exchange)
+    connection.send_request(_encode_request(order), state.exchange)
     try:
         return await _wait_for_end(state, deadlines)
     finally:
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -94,8 +94,8 @@
         exchange: Current exchange, None while idle.
         idle_since: When the last exchange ended.
         idle_s: How long the upstream keeps an idle connection, if known.
-        usable: Whether the connection may carry another exchange.
-        until_close: Whether the end of the connection ends the body.
+        reusable: Whether the connection may carry another exchange.
+        ends_at_close: Whether the end of the connection ends the body.
         ignoring_body: Whether the current response is a mismatched one.
     """
 
@@ -112,13 +112,13 @@
         self.exchange: Exchange | None = None
         self.idle_since = clock.monotonic()
         self.idle_s: float | None = None
-        self.usable = True
+        self.reusable = True
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = None
         self.headers: replies.Headers = []
         self.header_bytes = 0
         self.status = 0
-        self.until_close = False
+        self.ends_at_close = False
         self.ignoring_body = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -128,7 +128,7 @@
         if sock is not None:
             sockets.detect_silence(sock)
 
-    def begin(self, data: bytes, exchange: Exchange) -> None:
+    def send_request(self, data: bytes, exchange: Exchange) -> None:
         """Sends a request; its response is stored in ``exchange``."""
         self.exchange = exchange
         self.parser = httptools.HttpResponseParser(self)
@@ -136,7 +136,7 @@
 
     def abort(self) -> None:
         """Closes the connection at once, so that the upstream stops work."""
-        self.usable = False
+        self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
@@ -155,12 +155,12 @@
 
     def eof_received(self) -> None:
         """Completes a response whose body ends with the connection."""
-        if self.exchange is not None and self.until_close:
+        if self.exchange is not None and self.ends_at_close:
             self._complete()
 
     def connection_lost(self, error: Exception | None) -> None:
         """Fails an exchange that is not complete."""
-        self.usable = False
+        self.reusable = False
         self._set_failure(f"connection lost: {error or 'closed'}")
         self.on_close(self)
 
@@ -169,7 +169,7 @@
         self.headers = []
         self.header_bytes = 0
         if self.exchange is None or self.exchange.ended:
-            self.usable = False
+            self.reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Stores a header, up to the limit for all headers together."""
@@ -187,20 +187,20 @@
         reply = self.read(self.status, self.headers)
         self.ignoring_body = reply.answers not in ("", exchange.expected_id)
         if self.ignoring_body:
-            self.usable = False
+            self.reusable = False
             exchange.mismatched_id = reply.answers
             exchange.changed.set()
             return
-        self.until_close = exchange.has_body and self._body_ends_at_close()
-        if self.until_close or reply.closing:
-            self.usable = False
+        self.ends_at_close = exchange.has_body and self._body_ends_at_close()
+        if self.ends_at_close or reply.closing:
+            self.reusable = False
         self.idle_s = reply.idle_s
         exchange.status = self.status
         exchange.headers = self.headers
         exchange.reply = reply
         exchange.changed.set()
         if not exchange.has_body:
-            self.usable = False
+            self.reusable = False
             self._complete()
 
     def on_body(self, data: bytes) -> None:
@@ -219,14 +219,14 @@
 
     def on_message_complete(self) -> None:
         """Completes the response, unless it is interim or mismatched."""
-        if self._is_interim() or self.ignoring_body or self.until_close:
+        if self._is_interim() or self.ignoring_body or self.ends_at_close:
             self.ignoring_body = False
             return
         if not self.parser.should_keep_alive():
-            self.usable = False
+            self.reusable = False
         self._complete()
 
-    def taken(self) -> None:
+    def resume_reading(self) -> None:
         """Resumes reading after the buffered body was taken."""
         if not self.transport.is_closing():
             self.transport.resume_reading()
@@ -239,7 +239,7 @@
         self.exchange = None
         self.idle_since = clock.monotonic()
         if self.transport.get_write_buffer_size():
-            self.usable = False
+            self.reusable = False
 
     def _is_interim(self) -> bool:
         return 100 <= self.status < 200
@@ -257,7 +257,7 @@
             exchange.changed.set()
 
     def _set_failure(self, reason: str) -> None:
-        self.usable = False
+        self.reusable = False
         exchange = self.exchange
         if exchange is not None and not exchange.ended:
             exchange.failure = reason
--- a/src/_arbutuswalk/streams/pool.py
+++ b/src/_arbutuswalk/streams/pool.py
@@ -73,7 +73,7 @@
         now = self.now()
         while idle:
             candidate = idle.pop()
-            if candidate.usable and now - candidate.idle_since < _max_idle_s(
+            if candidate.reusable and now - candidate.idle_since < _max_idle_s(
                 candidate, careful
             ):
                 return candidate
@@ -83,7 +83,7 @@
     def give_back(self, connection: connections.Connection) -> None:
         """Returns a connection to the pool after its exchange, or closes it."""
         connection.finish()
-        if connection.usable and not connection.transport.is_closing():
+        if connection.reusable and not connection.transport.is_closing():
             self.idle.setdefault(connection.address, []).append(connection)
         else:
             connection.transport.close()
