--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -85,7 +85,7 @@
     if fresh:
         opened = await pool.open(order.address)
     else:
-        opened = await pool.take(order.address, careful=False)
+        opened = await pool.acquire(order.address, non_idempotent=False)
     if isinstance(opened, pools.NotOpened):
         return NotOpened(reason=opened.reason)
     exchange = connections.Exchange(
@@ -98,7 +98,7 @@
         opened.abort()
         raise
     if isinstance(result, Reply):
-        pool.give_back(opened)
+        pool.release(opened)
     else:
         opened.abort()
     return result
--- a/src/_arbutuswalk/entry/upkeep.py
+++ b/src/_arbutuswalk/entry/upkeep.py
@@ -26,7 +26,7 @@
         _adopt_orphaned_copies(entry)
         copies.expire(entry)
         suspicion.forget_hearsay(entry)
-        entry.pool.tick()
+        entry.pool.close_expired()
         for name in list(entry.queues):
             placing.pump(entry, name)
         if had_lease and not entry.admits:
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -75,16 +75,16 @@
 
     async def _run(self) -> results.Result:
         careful = not self.request.route.repeatable
-        opened = await self.relay.pool.take(
-            self.endpoint.address, careful=careful
+        opened = await self.relay.pool.acquire(
+            self.endpoint.address, non_idempotent=careful
         )
         if isinstance(opened, pool.NotOpened):
             placing.suspect(self.relay, self.endpoint.id, opened.reason)
-            self.relay.pool.drop(self.endpoint.address)
+            self.relay.pool.close_idle(self.endpoint.address)
             return results.NotSent(reason=opened.reason)
         left_s = self.request.deadline - self.relay.now()
         if self.delivery.left or left_s < results.LEAST_LEFT_S:
-            self.relay.pool.give_back(opened)
+            self.relay.pool.release(opened)
             if self.delivery.left:
                 return results.CallerLeft()
             return results.NotSent(reason="no time left")
@@ -109,7 +109,7 @@
             result, results.Answered | results.Delivered | results.NotRun
         )
         if whole and self.exchange.complete:
-            self.relay.pool.give_back(opened)
+            self.relay.pool.release(opened)
         else:
             opened.abort()
 
@@ -211,7 +211,7 @@
             self.relay.now(),
         )
         placing.suspect(self.relay, self.endpoint.id, reason)
-        self.relay.pool.drop(self.endpoint.address)
+        self.relay.pool.close_idle(self.endpoint.address)
         return results.Lost(reason=reason)
 
     def _count_begun(self, at: float) -> None:
--- a/src/_arbutuswalk/streams/pool.py
+++ b/src/_arbutuswalk/streams/pool.py
@@ -59,28 +59,28 @@
         self.now = now
         self.idle: dict[str, list[connections.Connection]] = {}
 
-    async def take(
-        self, address: str, *, careful: bool
+    async def acquire(
+        self, address: str, *, non_idempotent: bool
     ) -> connections.Connection | NotOpened:
         """Returns an idle connection or opens a new one.
 
         Args:
             address: ``IP:port`` of the endpoint.
-            careful: Whether the request must not be sent again if it is lost
-                with its connection.
+            non_idempotent: Whether the request must not be sent again if it
+                is lost with its connection.
         """
         idle = self.idle.get(address, [])
         now = self.now()
         while idle:
             candidate = idle.pop()
             if candidate.reusable and now - candidate.idle_since < _max_idle_s(
-                candidate, careful
+                candidate, non_idempotent
             ):
                 return candidate
             candidate.abort()
         return await self.open(address)
 
-    def give_back(self, connection: connections.Connection) -> None:
+    def release(self, connection: connections.Connection) -> None:
         """Returns a connection to the pool after its exchange, or closes it."""
         connection.finish()
         if connection.reusable and not connection.transport.is_closing():
@@ -88,18 +88,18 @@
         else:
             connection.transport.close()
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes the idle connections to an address suspected to be down."""
         for connection in self.idle.pop(address, []):
             connection.abort()
 
-    def tick(self) -> None:
+    def close_expired(self) -> None:
         """Closes connections that have been idle for too long."""
         now = self.now()
         for address, idle in list(self.idle.items()):
             for connection in list(idle):
                 if now - connection.idle_since >= _max_idle_s(
-                    connection, careful=False
+                    connection, non_idempotent=False
                 ):
                     idle.remove(connection)
                     connection.abort()
@@ -109,7 +109,7 @@
     def close(self) -> None:
         """Closes all idle connections."""
         for address in list(self.idle):
-            self.drop(address)
+            self.close_idle(address)
 
     async def open(self, address: str) -> connections.Connection | NotOpened:
         """Opens a new connection."""
@@ -160,9 +160,15 @@
     return connection
 
 
-def _max_idle_s(connection: connections.Connection, careful: bool) -> float:
+def _max_idle_s(
+    connection: connections.Connection, non_idempotent: bool
+) -> float:
     """Returns the idle time up to which a connection may be used."""
     max_idle_s = DEFAULT_IDLE_TIMEOUT_S
     if connection.idle_s is not None:
         max_idle_s = max(0.0, connection.idle_s - IDLE_MARGIN_S)
-    return min(max_idle_s, NON_IDEMPOTENT_MAX_IDLE_S) if careful else max_idle_s
+    return (
+        min(max_idle_s, NON_IDEMPOTENT_MAX_IDLE_S)
+        if non_idempotent
+        else max_idle_s
+    )
