--- a/src/_arbutuswalk/entry/core.py
+++ b/src/_arbutuswalk/entry/core.py
@@ -79,7 +79,9 @@
         self.rng = rng or random.Random()
         self.session = session
         self.pool = pool.Pool(
-            read=attempts.read_reply, connect_s=values["connect_s"], now=now
+            read_reply=attempts.read_reply,
+            connect_s=values["connect_s"],
+            now=now,
         )
         self.view: dict[str, Any] = {}
         self.view_version = 0
--- a/src/_arbutuswalk/relay/core.py
+++ b/src/_arbutuswalk/relay/core.py
@@ -130,7 +130,7 @@
         self.wall = wall
         self.rng = rng or random.Random()
         self.incarnation = int(wall() * clock.MS_PER_S)
-        self.pool = pool.Pool(read=dialect.read, now=now)
+        self.pool = pool.Pool(read_reply=dialect.read, now=now)
         self.table: routetable.RouteTable | None = None
         self.directory = directory.Directory()
         self.loads: dict[str, Load] = {}
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -193,7 +193,7 @@
         feed=feed, attempt_id=order.attempt_id, echo=order.echo
     )
     connection = await pool.connect(
-        order.address, read=read_reply, timeout_s=deadlines.connect_s
+        order.address, read_reply=read_reply, timeout_s=deadlines.connect_s
     )
     if isinstance(connection, pool.NotOpened):
         return NotConnected(reason=connection.reason)
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -89,7 +89,7 @@
 
     Attributes:
         address: ``IP:port`` of the upstream.
-        read: Interprets the status and headers of a response.
+        read_reply: Interprets the status and headers of a response.
         on_close: Called once the connection has closed.
         exchange: Current exchange, None while idle.
         idle_since: When the last exchange ended.
@@ -103,11 +103,11 @@
         self,
         *,
         address: str,
-        read: Callable[[int, replies.Headers], replies.Reply],
+        read_reply: Callable[[int, replies.Headers], replies.Reply],
         on_close: Callable[["Connection"], None],
     ):
         self.address = address
-        self.read = read
+        self.read_reply = read_reply
         self.on_close = on_close
         self.exchange: Exchange | None = None
         self.idle_since = clock.monotonic()
@@ -184,7 +184,7 @@
         exchange = self.exchange
         if exchange is None or exchange.ended or self._is_interim():
             return
-        reply = self.read(self.status, self.headers)
+        reply = self.read_reply(self.status, self.headers)
         self.ignoring_body = reply.answers not in ("", exchange.expected_id)
         if self.ignoring_body:
             self.reusable = False
--- a/src/_arbutuswalk/streams/pool.py
+++ b/src/_arbutuswalk/streams/pool.py
@@ -42,7 +42,7 @@
     """Idle connections by address.
 
     Attributes:
-        read: Interprets the status and headers of a response.
+        read_reply: Interprets the status and headers of a response.
         connect_s: Connect timeout.
         idle: Idle connections by address, the most recently used last.
     """
@@ -50,11 +50,11 @@
     def __init__(
         self,
         *,
-        read: Callable[[int, replies.Headers], replies.Reply],
+        read_reply: Callable[[int, replies.Headers], replies.Reply],
         connect_s: float = CONNECT_TIMEOUT_S,
         now: clock.Clock = clock.monotonic,
     ):
-        self.read = read
+        self.read_reply = read_reply
         self.connect_s = connect_s
         self.now = now
         self.idle: dict[str, list[connections.Connection]] = {}
@@ -115,7 +115,7 @@
         """Opens a new connection."""
         return await connect(
             address,
-            read=self.read,
+            read_reply=self.read_reply,
             timeout_s=self.connect_s,
             on_close=self._remove_closed,
         )
@@ -129,7 +129,7 @@
 async def connect(
     address: str,
     *,
-    read: Callable[[int, replies.Headers], replies.Reply],
+    read_reply: Callable[[int, replies.Headers], replies.Reply],
     timeout_s: float,
     on_close: Callable[[connections.Connection], None] = lambda closed: None,
 ) -> connections.Connection | NotOpened:
@@ -137,7 +137,7 @@
 
     Args:
         address: ``IP:port`` of the upstream.
-        read: Interprets the status and headers of a response.
+        read_reply: Interprets the status and headers of a response.
         timeout_s: Connect timeout.
         on_close: Called once the connection has closed.
     """
@@ -147,7 +147,7 @@
         async with asyncio.timeout(timeout_s):
             _, connection = await loop.create_connection(
                 lambda: connections.Connection(
-                    address=address, read=read, on_close=on_close
+                    address=address, read_reply=read_reply, on_close=on_close
                 ),
                 host,
                 int(port),
--- a/testing/test_exchange.py
+++ b/testing/test_exchange.py
@@ -55,7 +55,7 @@
 
 @pytest.fixture
 async def connection_pool():
-    new_pool = pool.Pool(read=attempts.read_reply)
+    new_pool = pool.Pool(read_reply=attempts.read_reply)
     yield new_pool
     new_pool.close()
 
