--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -129,7 +129,7 @@
             return Lost(reason="no whole answer in time")
     if not exchange.complete:
         return Lost(reason=exchange.failure)
-    content_type = replies.first(exchange.headers, b"content-type")
+    content_type = replies.first_value(exchange.headers, b"content-type")
     return Reply(
         status=exchange.status,
         content_type=content_type.decode("latin-1"),
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -124,7 +124,7 @@
         reply = self.exchange.reply
         if reply is None:
             return self._lost(self.exchange.failure)
-        if reply.ran and reply.good and self._is_stream():
+        if reply.ran and reply.is_success and self._is_stream():
             return await self._stream(opened, deadline)
         return await self._whole(opened, reply, deadline)
 
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -172,14 +172,14 @@
 
 def read_reply(status: int, headers: replies.Headers) -> replies.Reply:
     """Interprets the status and headers of a response."""
-    echoed = replies.first(headers, ATTEMPT_HEADER.lower().encode())
-    connection = replies.first(headers, b"connection").lower()
+    echoed = replies.first_value(headers, ATTEMPT_HEADER.lower().encode())
+    connection = replies.first_value(headers, b"connection").lower()
     return replies.Reply(
         ran=True,
-        answers=echoed.decode("latin-1"),
-        good=status == STATUS_OK,
-        idle_s=None,
-        closing=b"close" in connection,
+        answered_id=echoed.decode("latin-1"),
+        is_success=status == STATUS_OK,
+        keep_alive_s=None,
+        closes_connection=b"close" in connection,
     )
 
 
@@ -250,7 +250,7 @@
     """
     if exchange.mismatched_id:
         return True
-    return bool(exchange.reply) and echo and not exchange.reply.answers
+    return bool(exchange.reply) and echo and not exchange.reply.answered_id
 
 
 def _with_cached_tokens(
@@ -258,7 +258,7 @@
 ) -> Result:
     """Returns the result with the number of tokens cached by the upstream."""
     name = CACHED_HEADER.lower().encode()
-    text = replies.first(exchange.headers, name)
+    text = replies.first_value(exchange.headers, name)
     if not hasattr(result, "cached_tokens") or not text.isdigit():
         return result
     return dataclasses.replace(result, cached_tokens=int(text))
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -93,7 +93,7 @@
         on_close: Called once the connection has closed.
         exchange: Current exchange, None while idle.
         idle_since: When the last exchange ended.
-        idle_s: How long the upstream keeps an idle connection, if known.
+        keep_alive_s: How long the upstream keeps an idle connection, if known.
         reusable: Whether the connection may carry another exchange.
         ends_at_close: Whether the end of the connection ends the body.
         ignoring_body: Whether the current response is a mismatched one.
@@ -111,7 +111,7 @@
         self.on_close = on_close
         self.exchange: Exchange | None = None
         self.idle_since = clock.monotonic()
-        self.idle_s: float | None = None
+        self.keep_alive_s: float | None = None
         self.reusable = True
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = None
@@ -185,16 +185,16 @@
         if exchange is None or exchange.ended or self._is_interim():
             return
         reply = self.read_reply(self.status, self.headers)
-        self.ignoring_body = reply.answers not in ("", exchange.expected_id)
+        self.ignoring_body = reply.answered_id not in ("", exchange.expected_id)
         if self.ignoring_body:
             self.reusable = False
-            exchange.mismatched_id = reply.answers
+            exchange.mismatched_id = reply.answered_id
             exchange.changed.set()
             return
         self.ends_at_close = exchange.has_body and self._body_ends_at_close()
-        if self.ends_at_close or reply.closing:
+        if self.ends_at_close or reply.closes_connection:
             self.reusable = False
-        self.idle_s = reply.idle_s
+        self.keep_alive_s = reply.keep_alive_s
         exchange.status = self.status
         exchange.headers = self.headers
         exchange.reply = reply
--- a/src/_arbutuswalk/streams/pool.py
+++ b/src/_arbutuswalk/streams/pool.py
@@ -165,8 +165,8 @@
 ) -> float:
     """Returns the idle time up to which a connection may be used."""
     max_idle_s = DEFAULT_IDLE_TIMEOUT_S
-    if connection.idle_s is not None:
-        max_idle_s = max(0.0, connection.idle_s - IDLE_MARGIN_S)
+    if connection.keep_alive_s is not None:
+        max_idle_s = max(0.0, connection.keep_alive_s - IDLE_MARGIN_S)
     return (
         min(max_idle_s, NON_IDEMPOTENT_MAX_IDLE_S)
         if non_idempotent
--- a/src/_arbutuswalk/streams/replies.py
+++ b/src/_arbutuswalk/streams/replies.py
@@ -11,20 +11,20 @@
 
     Attributes:
         ran: False if the upstream states that the request did not run.
-        answers: Id of the exchange that the response belongs to, or empty.
-        good: Whether the status is a success.
-        idle_s: How long the upstream keeps an idle connection, if stated.
-        closing: Whether the upstream closes the connection afterwards.
+        answered_id: Id of the exchange that the response belongs to, or empty.
+        is_success: Whether the status is a success.
+        keep_alive_s: How long the upstream keeps an idle connection, if stated.
+        closes_connection: Whether the upstream closes it afterwards.
     """
 
     ran: bool
-    answers: str
-    good: bool
-    idle_s: float | None
-    closing: bool
+    answered_id: str
+    is_success: bool
+    keep_alive_s: float | None
+    closes_connection: bool
 
 
-def first(headers: Headers, name: bytes) -> bytes:
+def first_value(headers: Headers, name: bytes) -> bytes:
     """Returns the first value of a header, or an empty value."""
     for header_name, value in headers:
         if header_name == name:
