--- a/src/_arbutuswalk/entry/delivery.py
+++ b/src/_arbutuswalk/entry/delivery.py
@@ -208,7 +208,7 @@
 
 def _usage(request: requests.ModelRequest) -> dict[str, int]:
     for event in reversed(request.answer.events):
-        payload = framing.payload_of(event)
+        payload = framing.event_payload(event)
         if payload and payload.get("usage"):
             return payload["usage"]
     return {}
--- a/src/_arbutuswalk/load/callers.py
+++ b/src/_arbutuswalk/load/callers.py
@@ -267,7 +267,7 @@
             result.gaps_s.append(now - self.last_at)
         self.last_at = now
         self.events.append(rest)
-        self.done = rest == framing.DONE
+        self.done = rest == framing.DONE_EVENT
 
 
 def _model_body(item: workload.Item) -> dict[str, Any]:
--- a/src/_arbutuswalk/load/checks.py
+++ b/src/_arbutuswalk/load/checks.py
@@ -48,4 +48,4 @@
 
 def text_of_events(events: list[bytes]) -> str:
     """Returns the text that a list of engine events carries."""
-    return "".join(framing.text_of(event) for event in events)
+    return "".join(framing.event_text(event) for event in events)
--- a/src/_arbutuswalk/streams/answer.py
+++ b/src/_arbutuswalk/streams/answer.py
@@ -60,7 +60,7 @@
 
     def framed(self, start: int) -> bytes:
         """Returns the events from ``start`` on, framed for callers."""
-        return framing.number(self.id_prefix, start, self.events[start:])
+        return framing.number_events(self.id_prefix, start, self.events[start:])
 
     def finish(self) -> None:
         """Marks the response as complete."""
@@ -75,7 +75,7 @@
 
     def text(self) -> str:
         """Returns the text delivered so far."""
-        return "".join(framing.text_of(event) for event in self.events)
+        return "".join(framing.event_text(event) for event in self.events)
 
     def _wake(self) -> None:
         for reader in tuple(self.readers):
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -145,7 +145,7 @@
         if self.result is not None or crossed(self.exchange, self.echo):
             return
         events = self.framer.feed(data)
-        if len(self.framer.rest) > framing.MAX_EVENT_BYTES:
+        if len(self.framer.partial) > framing.MAX_EVENT_BYTES:
             self._set_result(Broke(reason="event too large"))
         elif events:
             self._deliver_events(events)
@@ -287,7 +287,7 @@
     The second value is true for an error event.
     """
     for i, event in enumerate(events):
-        if event == framing.DONE:
+        if event == framing.DONE_EVENT:
             return i, False
         if event.startswith(framing.ERROR_PREFIX):
             return i, True
--- a/src/_arbutuswalk/streams/framing.py
+++ b/src/_arbutuswalk/streams/framing.py
@@ -3,7 +3,7 @@
 import json
 
 SEPARATOR = b"\n\n"
-DONE = b"data: [DONE]"
+DONE_EVENT = b"data: [DONE]"
 ERROR_PREFIX = b'data: {"error"'
 KEEP_ALIVE = b": keep-alive\n\n"
 MAX_EVENT_BYTES = 256 * 1024
@@ -13,18 +13,18 @@
     """Splits a byte stream into events.
 
     Attributes:
-        rest: Bytes of an event that is not complete yet.
+        partial: Bytes of an event that is not complete yet.
     """
 
     def __init__(self):
-        self.rest = b""
+        self.partial = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the events that ``data`` completes, without separators."""
-        if self.rest:
-            data = self.rest + data
+        if self.partial:
+            data = self.partial + data
         parts = data.split(SEPARATOR)
-        self.rest = parts.pop()
+        self.partial = parts.pop()
         return parts
 
 
@@ -33,7 +33,7 @@
     return f"id: {request_id}:".encode()
 
 
-def number(prefix: bytes, first: int, events: list[bytes]) -> bytes:
+def number_events(prefix: bytes, first: int, events: list[bytes]) -> bytes:
     """Returns events with id lines and separators, ready to send."""
     if len(events) == 1:
         return b"%b%d\n%b\n\n" % (prefix, first, events[0])
@@ -51,7 +51,7 @@
     return request_id, int(event_number)
 
 
-def text_of(event: bytes) -> str:
+def event_text(event: bytes) -> str:
     """Returns the text of a completion or chat event, or an empty string."""
     if not event.startswith(b"data: {"):
         return ""
@@ -64,7 +64,7 @@
         return ""
 
 
-def payload_of(event: bytes) -> dict | None:
+def event_payload(event: bytes) -> dict | None:
     """Returns the JSON object in an event, or None."""
     if not event.startswith(b"data: {"):
         return None
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -62,11 +62,11 @@
             found += framer.feed(stream[:size])
             stream = stream[size:]
         assert found == events
-        assert framer.rest == b""
+        assert framer.partial == b""
 
     def test_event_id_round_trip(self):
         prefix = framing.id_prefix("entry~abc")
-        framed = framing.number(prefix, 12, [b"data: x"])
+        framed = framing.number_events(prefix, 12, [b"data: x"])
         head = framed.split(b"\n")[0].removeprefix(b"id: ").decode()
         assert framing.parse_event_id(head) == ("entry~abc", 12)
 
@@ -79,7 +79,7 @@
         [b"", b"data: {", b"data: [1]", b'data: {"choices": [3]}', b"x"],
     )
     def test_events_without_text(self, event):
-        assert framing.text_of(event) == ""
+        assert framing.event_text(event) == ""
 
 
 class TestAnswer:
