--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -115,7 +115,7 @@
     while True:
         body += exchange.take_body()
         opened.resume_reading()
-        if attempts.crossed(exchange, order.echo):
+        if attempts.is_mismatched(exchange, order.echo):
             got = exchange.mismatched_id
             return Lost(reason=f"answer to another attempt: {got!r}")
         if opened.ends_at_close:
--- a/src/_arbutuswalk/entry/running.py
+++ b/src/_arbutuswalk/entry/running.py
@@ -150,7 +150,7 @@
 
 
 async def _run_or_move(
-    state: Run, row: upstreams.Row, feed: attempts.Feed
+    state: Run, row: upstreams.Row, feed: attempts.EventsCallback
 ) -> attempts.Result:
     """Runs the attempt, or stops it once its work was moved elsewhere."""
     entry, request = state.entry, state.request
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -110,14 +110,14 @@
     Completed | NotConnected | Declined | Broke | Silent | Crossed | Stopped
 )
 
-Feed = Callable[[list[bytes]], None]
+EventsCallback = Callable[[list[bytes]], None]
 
 
 class AttemptState:
     """State of an attempt while its events are received.
 
     Attributes:
-        feed: Called with complete events.
+        on_events: Called with complete events.
         echo: Whether the upstream echoes the attempt id.
         exchange: Exchange whose body is read.
         framer: Splits the body into events.
@@ -126,8 +126,10 @@
         abort: Closes the connection once the result is known.
     """
 
-    def __init__(self, *, feed: Feed, attempt_id: str, echo: bool):
-        self.feed = feed
+    def __init__(
+        self, *, on_events: EventsCallback, attempt_id: str, echo: bool
+    ):
+        self.on_events = on_events
         self.echo = echo
         self.exchange = connections.Exchange(
             expected_id=attempt_id, has_body=True, on_body=self.receive_body
@@ -142,7 +144,7 @@
         if self.exchange.status != STATUS_OK:
             self.error_body += data[:MAX_ERROR_CHUNK_BYTES]
             return
-        if self.result is not None or crossed(self.exchange, self.echo):
+        if self.result is not None or is_mismatched(self.exchange, self.echo):
             return
         events = self.framer.feed(data)
         if len(self.framer.partial) > framing.MAX_EVENT_BYTES:
@@ -153,12 +155,12 @@
     def _deliver_events(self, events: list[bytes]) -> None:
         end = _find_end_marker(events)
         if end is None:
-            self.feed(events)
+            self.on_events(events)
             return
         position, failed = end
         delivered = events[:position] if failed else events[: position + 1]
         if delivered:
-            self.feed(delivered)
+            self.on_events(delivered)
         if failed:
             detail = events[position][:200].decode(errors="replace")
             self._set_result(Broke(reason=detail))
@@ -183,14 +185,16 @@
     )
 
 
-async def run(order: Order, deadlines: Deadlines, feed: Feed) -> Result:
-    """Runs one attempt and passes the received events to ``feed``.
+async def run(
+    order: Order, deadlines: Deadlines, on_events: EventsCallback
+) -> Result:
+    """Runs one attempt and passes the received events to ``on_events``.
 
     Every attempt opens a new connection: a reused one could have failed
     silently since its last use.
     """
     state = AttemptState(
-        feed=feed, attempt_id=order.attempt_id, echo=order.echo
+        on_events=on_events, attempt_id=order.attempt_id, echo=order.echo
     )
     connection = await pool.connect(
         order.address, read_reply=read_reply, timeout_s=deadlines.connect_s
@@ -210,7 +214,7 @@
     exchange = state.exchange
     if not await _wait_for_headers(exchange, deadlines.first_byte_s):
         return Silent(after_s=deadlines.first_byte_s)
-    if crossed(exchange, state.echo):
+    if is_mismatched(exchange, state.echo):
         return Crossed(got=exchange.mismatched_id)
     while not exchange.ended:
         remaining_s = (
@@ -241,7 +245,7 @@
     return True
 
 
-def crossed(exchange: connections.Exchange, echo: bool) -> bool:
+def is_mismatched(exchange: connections.Exchange, echo: bool) -> bool:
     """Returns whether the response belongs to another attempt.
 
     Args:
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -92,7 +92,7 @@
                 kills = self.kills_by_request.get(reference, 0)
                 self.kills_by_request[reference] = kills + 1
 
-    async def run(self, order, deadlines, feed):
+    async def run(self, order, deadlines, on_events):
         runner = self.runner_at(order.address)
         mode = self.rng.choice(self.modes)
         await asyncio.sleep(0.002)
@@ -102,9 +102,9 @@
             return attempts.Crossed(got="another")
         if mode == "error":
             return attempts.Declined(status=500, detail="fault")
-        return await self._generate(runner, order, deadlines, feed, mode)
+        return await self._generate(runner, order, deadlines, on_events, mode)
 
-    async def _generate(self, runner, order, deadlines, feed, mode):
+    async def _generate(self, runner, order, deadlines, on_events, mode):
         prompt = requests.prompt_of(order.body)
         reference = engine.reference_of(prompt)
         nonce, position = engine.start_of(order.body.get("continue_from"))
@@ -123,9 +123,9 @@
             token = engine.token(reference, nonce, position)
             choice = {"index": 0, "text": token}
             body = json.dumps({"choices": [choice]}).encode()
-            feed([b"data: " + body])
+            on_events([b"data: " + body])
             position += 1
-        feed([b"data: [DONE]"])
+        on_events([b"data: [DONE]"])
         return attempts.Completed(cached_tokens=0)
 
 
