--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -15,7 +15,7 @@
 from _arbutuswalk.wire import sockets
 
 MAX_HEADER_BYTES = 64 * 1024
-PAUSE_BYTES = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 """Bytes buffered for a slow caller above which reading is paused."""
 NO_BODY_STATUSES = (204, 304)
 
@@ -213,7 +213,7 @@
             return
         exchange.chunks.append(data)
         exchange.buffered_bytes += len(data)
-        if exchange.buffered_bytes > PAUSE_BYTES:
+        if exchange.buffered_bytes > MAX_BUFFERED_BYTES:
             self.transport.pause_reading()
         exchange.changed.set()
 
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -66,7 +66,7 @@
 
     async def test_an_answer_larger_than_what_may_wait_comes_whole(self):
         """Reading pauses for slow callers only, not before they get a byte."""
-        body = b"x" * (4 * connection.PAUSE_BYTES)
+        body = b"x" * (4 * connection.MAX_BUFFERED_BYTES)
         relay = relays.make_relay()
         caller = await run(relay, relays.Endpoint(relays.answer(body)))
         assert (caller.status, caller.data) == (200, body)
