--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -24,7 +24,7 @@
 
 TOKEN_INTERVAL_S = 0.05
 MAX_TOKENS = 12
-RUNNERS = 5
+RUNNER_COUNT = 5
 FAULT_MODES = [
     "good",
     "good",
@@ -49,7 +49,7 @@
         self.sequence = 0
         self.running = 0
 
-    def said(self):
+    def announcement(self):
         self.sequence += 1
         return worlds.said(
             self.identity,
@@ -73,7 +73,7 @@
         self.runners = {}
         self.incarnation = 0
         self.kills_by_request = {}
-        for i in range(RUNNERS):
+        for i in range(RUNNER_COUNT):
             self.start(f"u{i}")
 
     def start(self, identity):
@@ -192,7 +192,7 @@
         )
 
     def _announce(self, entry, runner):
-        announcing.take(entry, runner.said(), age_s=0.0)
+        announcing.take(entry, runner.announcement(), age_s=0.0)
 
     def _advance_time(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
@@ -261,7 +261,7 @@
     def time_passes(self, seconds):
         self._advance_time(seconds)
 
-    @stateful.rule(i=st.integers(0, RUNNERS - 1))
+    @stateful.rule(i=st.integers(0, RUNNER_COUNT - 1))
     def reclaim_with_notice(self, i):
         runner = self.fleet.runners[f"u{i}"]
         if runner.alive and not runner.leaving:
@@ -281,7 +281,7 @@
         for i in range(3):
             self.reclaim_with_notice(i)
 
-    @stateful.rule(i=st.integers(0, RUNNERS - 1))
+    @stateful.rule(i=st.integers(0, RUNNER_COUNT - 1))
     def replace(self, i):
         if not self.fleet.runners[f"u{i}"].alive:
             self.fleet.start(f"u{i}")
@@ -297,7 +297,7 @@
             if hasattr(self, "fleet"):
                 self.fleet.modes = ["good"]
                 self._advance_time(3)  # until all leaving runners are gone
-                for i in range(RUNNERS):
+                for i in range(RUNNER_COUNT):
                     self.replace(i)
                 self._advance_time(100)
                 self._check()
