--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -76,8 +76,8 @@
 
     async def finish(self) -> None:
         """Ends a complete stream; what is left is no whole event."""
-        if self.framer.partial:
-            await self.caller.body(self.framer.partial)
+        if self.framer.rest:
+            await self.caller.body(self.framer.rest)
         await self.caller.end()
 
     async def whole(
--- a/src/_arbutuswalk/streams/attempts.py
+++ b/src/_arbutuswalk/streams/attempts.py
@@ -147,7 +147,7 @@
         if self.result is not None or is_mismatched(self.exchange, self.echo):
             return
         events = self.framer.feed(data)
-        if len(self.framer.partial) > framing.MAX_EVENT_BYTES:
+        if len(self.framer.rest) > framing.MAX_EVENT_BYTES:
             self._set_result(Broke(reason="event too large"))
         elif events:
             self._deliver_events(events)
--- a/src/_arbutuswalk/streams/framing.py
+++ b/src/_arbutuswalk/streams/framing.py
@@ -13,18 +13,18 @@
     """Splits a byte stream into events.
 
     Attributes:
-        partial: Bytes of an event that is not complete yet.
+        rest: Bytes of an event that is not complete yet.
     """
 
     def __init__(self):
-        self.partial = b""
+        self.rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """Returns the events that ``data`` completes, without separators."""
-        if self.partial:
-            data = self.partial + data
+        if self.rest:
+            data = self.rest + data
         parts = data.split(SEPARATOR)
-        self.partial = parts.pop()
+        self.rest = parts.pop()
         return parts
 
 
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -24,18 +24,9 @@
 
 TOKEN_INTERVAL_S = 0.05
 MAX_TOKENS = 12
-RUNNER_COUNT = 5
-FAULT_MODES = [
-    "good",
-    "good",
-    "good",
-    "broke",
-    "silent",
-    "cross",
-    "error",
-    "down",
-]
-CRASHING_PROMPT = "poison"
+RUNNERS = 5
+MODES = ["good", "good", "good", "broke", "silent", "cross", "error", "down"]
+POISON = "poison"
 
 
 class Runner:
@@ -49,7 +40,7 @@
         self.sequence = 0
         self.running = 0
 
-    def announcement(self):
+    def said(self):
         self.sequence += 1
         return worlds.said(
             self.identity,
@@ -72,15 +63,15 @@
         self.modes = ["good"]
         self.runners = {}
         self.incarnation = 0
-        self.kills_by_request = {}
-        for i in range(RUNNER_COUNT):
+        self.killed_by = {}
+        for i in range(RUNNERS):
             self.start(f"u{i}")
 
     def start(self, identity):
         self.incarnation += 1
         self.runners[identity] = Runner(identity, self.incarnation)
 
-    def runner_at(self, address):
+    def at(self, address):
         return self.runners[f"u{int(address.rpartition(':')[2]) - 9000}"]
 
     def die(self, runner, reference=None):
@@ -89,11 +80,11 @@
             # A leaving runner is lost in any case and counts against no
             # request.
             if reference and not runner.leaving:
-                kills = self.kills_by_request.get(reference, 0)
-                self.kills_by_request[reference] = kills + 1
+                kills = self.killed_by.get(reference, 0)
+                self.killed_by[reference] = kills + 1
 
     async def run(self, order, deadlines, on_events):
-        runner = self.runner_at(order.address)
+        runner = self.at(order.address)
         mode = self.rng.choice(self.modes)
         await asyncio.sleep(0.002)
         if not runner.alive or mode == "down":
@@ -111,7 +102,7 @@
         fault_position = self.rng.randint(position, MAX_TOKENS)
         while position < order.body["max_tokens"]:
             await asyncio.sleep(TOKEN_INTERVAL_S)
-            if CRASHING_PROMPT in prompt and position >= 3:
+            if POISON in prompt and position >= 3:
                 self.die(runner, reference)
             if not runner.alive:
                 return attempts.Broke(reason="reset")
@@ -130,19 +121,15 @@
 
 
 class StreamMachine(stateful.RuleBasedStateMachine):
-    """Two entries, five runners and callers that resend crashing requests."""
+    """Two entries, five runners, callers that resend crashing requests."""
 
     def __init__(self):
         super().__init__()
         self.loop = virtual.VirtualLoop()
-        self.original_functions = (
-            attempts.run,
-            suspicion._probe,
-            transfers.export_cache,
-        )
-        self.normal_requests = []
-        self.crashing_requests = []
-        self.request_count = 0
+        self.saved = (attempts.run, suspicion._probe, transfers.export_cache)
+        self.sent = []
+        self.poisoned = []
+        self.number = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
@@ -160,17 +147,17 @@
             entry.start_request = lambda request, entry=entry: (
                 models.start_task(entry, request)
             )
-        self.background = self.loop.create_task(self._run_background())
+        self.background = self.loop.create_task(self._upkeep())
 
     async def _probe(self, address):
         await asyncio.sleep(0.001)
-        return "open" if self.fleet.runner_at(address).alive else "refused"
+        return "open" if self.fleet.at(address).alive else "refused"
 
     async def _no_export(self, entry, row, request):
         await asyncio.sleep(0.01)
 
-    async def _run_background(self):
-        """Runs heartbeats, view updates and expiry as the processes do."""
+    async def _upkeep(self):
+        """Heartbeats, views and expiry, as processes run them."""
         while True:
             for entry in self.entries:
                 entry.view = json.loads(
@@ -185,20 +172,20 @@
             await asyncio.sleep(0.3)
 
     def _report_active(self, entry):
-        """Stores what the entry's next lease request reports to the leader."""
+        """What the entry's next request for a stamp tells the leader."""
         self.control.seen[entry.name] = (
             self.control.index,
             suspicion.occupied(entry),
         )
 
     def _announce(self, entry, runner):
-        announcing.take(entry, runner.announcement(), age_s=0.0)
+        announcing.take(entry, runner.said(), age_s=0.0)
 
-    def _advance_time(self, seconds):
+    def _pass(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def _send(self, entry, reference, text):
-        self.request_count += 1
+        self.number += 1
         body = {
             "model": "model",
             "prompt": f"{text} ref:{reference}",
@@ -207,7 +194,7 @@
         }
         raw = json.dumps(body).encode()
         request = requests.ModelRequest(
-            request_id=f"{entry.name}~{self.request_count}",
+            request_id=f"{entry.name}~{self.number}",
             workspace="w",
             weight=1,
             key="",
@@ -228,60 +215,58 @@
     @stateful.rule(i=st.integers(0, 1), count=st.integers(1, 4))
     def send(self, i, count):
         for _ in range(count):
-            reference = f"r{self.request_count}"
+            reference = f"r{self.number}"
             request = self._send(self.entries[i], reference, "hello")
-            self.normal_requests.append((reference, request))
+            self.sent.append((reference, request))
 
-    @stateful.precondition(lambda self: len(self.crashing_requests) < 2)
+    @stateful.precondition(lambda self: len(self.poisoned) < 2)
     @stateful.rule(i=st.integers(0, 1))
     def send_crashing(self, i):
-        reference = f"p{len(self.crashing_requests)}"
-        request = self._send(self.entries[i], reference, CRASHING_PROMPT)
-        self.crashing_requests.append((reference, [request]))
+        reference = f"p{len(self.poisoned)}"
+        request = self._send(self.entries[i], reference, POISON)
+        self.poisoned.append((reference, [request]))
 
-    @stateful.precondition(lambda self: self.crashing_requests)
+    @stateful.precondition(lambda self: self.poisoned)
     @stateful.rule(i=st.integers(0, 1))
     def resend_crashing(self, i):
-        """Resends a crashing request after the caller received its failure."""
-        reference, resends = self.crashing_requests[-1]
-        if resends[-1].answer.ended and not self._is_convicted(resends[-1], i):
-            request = self._send(self.entries[i], reference, CRASHING_PROMPT)
-            resends.append(request)
+        """The caller sends it again once it was told that it failed."""
+        reference, tries = self.poisoned[-1]
+        if tries[-1].answer.ended and not self._is_convicted(tries[-1], i):
+            request = self._send(self.entries[i], reference, POISON)
+            tries.append(request)
 
     def _is_convicted(self, request, i):
         return self.entries[i].convicted_until_ms(request.fingerprint) > 0
 
     @stateful.rule(
-        modes=st.lists(st.sampled_from(FAULT_MODES), min_size=3, max_size=6)
+        modes=st.lists(st.sampled_from(MODES), min_size=3, max_size=6)
     )
     def change_faults(self, modes):
         self.fleet.modes = modes
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 4.0]))
     def time_passes(self, seconds):
-        self._advance_time(seconds)
+        self._pass(seconds)
 
-    @stateful.rule(i=st.integers(0, RUNNER_COUNT - 1))
+    @stateful.rule(i=st.integers(0, RUNNERS - 1))
     def reclaim_with_notice(self, i):
         runner = self.fleet.runners[f"u{i}"]
         if runner.alive and not runner.leaving:
             runner.leaving = True
             for entry in self.entries:
-                self.loop.run_until_complete(
-                    self._announce_leaving(entry, runner)
-                )
+                self.loop.run_until_complete(self._tell(entry, runner))
             self.loop.call_later(2.0, self.fleet.die, runner)
 
-    async def _announce_leaving(self, entry, runner):
+    async def _tell(self, entry, runner):
         self._announce(entry, runner)
 
     @stateful.rule()
     def reclaim_a_domain(self):
-        """Reclaims three of five runners at once, with 2 s of notice."""
+        """A wave: three of five on two seconds of notice."""
         for i in range(3):
             self.reclaim_with_notice(i)
 
-    @stateful.rule(i=st.integers(0, RUNNER_COUNT - 1))
+    @stateful.rule(i=st.integers(0, RUNNERS - 1))
     def replace(self, i):
         if not self.fleet.runners[f"u{i}"].alive:
             self.fleet.start(f"u{i}")
@@ -289,27 +274,25 @@
     @stateful.invariant()
     def crashing_requests_take_two_runners_at_most(self):
         if hasattr(self, "fleet"):
-            for reference, count in self.fleet.kills_by_request.items():
+            for reference, count in self.fleet.killed_by.items():
                 assert count <= 2, (reference, count)
 
     def teardown(self):
         try:
             if hasattr(self, "fleet"):
                 self.fleet.modes = ["good"]
-                self._advance_time(3)  # until all leaving runners are gone
-                for i in range(RUNNER_COUNT):
+                self._pass(3)  # until all leaving runners are gone
+                for i in range(RUNNERS):
                     self.replace(i)
-                self._advance_time(100)
+                self._pass(100)
                 self._check()
         finally:
-            attempts.run, suspicion._probe, transfers.export_cache = (
-                self.original_functions
-            )
+            attempts.run, suspicion._probe, transfers.export_cache = self.saved
             virtual.close(self.loop)
 
     def _check(self):
         self.crashing_requests_take_two_runners_at_most()
-        for reference, request in self.normal_requests:
+        for reference, request in self.sent:
             result = request.answer
             assert result.ended, f"{reference} hangs: {request.history}"
             if result.problem is not None:
@@ -321,6 +304,6 @@
             assert checks.check_text(item, result.text()) == ""
 
     def _check_problem(self, reference, request):
-        """A request that crashes no runner fails only by upstream errors."""
+        """An innocent request fails only by its version's own errors."""
         problem: answer.Problem = request.answer.problem
         assert problem.title == "upstream error", (problem, request.history)
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -39,7 +39,7 @@
         self.entry = worlds.make_entry(self.loop, self.control, "a")
         self.app = app.make(self.entry)
         for runner in self.fleet.runners.values():
-            from_runner = runner.announcement()
+            from_runner = runner.said()
             self.announce(from_runner)
 
     def announce(self, said):
@@ -458,7 +458,7 @@
         edge.post(PLAIN, ask())
         dumped = json.loads(json.dumps(links.dump(edge.entry)))
         assert dumped["role"] == "entry"
-        assert len(dumped["upstreams"]) == stream_machine.RUNNER_COUNT
+        assert len(dumped["upstreams"]) == stream_machine.RUNNERS
 
     def test_explain_tells_each_attempt(self, edge):
         edge.post(PLAIN, ask())
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -62,7 +62,7 @@
             found += framer.feed(stream[:size])
             stream = stream[size:]
         assert found == events
-        assert framer.partial == b""
+        assert framer.rest == b""
 
     def test_event_id_round_trip(self):
         prefix = framing.id_prefix("entry~abc")
