--- a/src/_arbutuswalk/control/discovery.py
+++ b/src/_arbutuswalk/control/discovery.py
@@ -33,7 +33,7 @@
 ENDPOINT_RETENTION_S = 20.0
 """Time without an announcement after which an endpoint is removed: many missed
 heartbeats."""
-CONFIRM_TIMEOUT_S = 0.4
+ENTRIES_UPDATE_TIMEOUT_S = 0.4
 """Longest wait until entries know that an endpoint is leaving; the announcing
 endpoint allows one second for the response."""
 
@@ -116,7 +116,7 @@
             return False
         return self.announce(row.endpoint._replace(state=directories.GONE))
 
-    def drop(self, endpoint_id: str) -> None:
+    def remove_endpoint(self, endpoint_id: str) -> None:
         """Removes an endpoint that was restored from disk and not confirmed."""
         directories.forget(self.directory, endpoint_id)
         events.record(events.Event.ENDPOINT_FORGOTTEN, endpoint_id)
@@ -128,7 +128,7 @@
             Whether all of them have it within the timeout.
         """
         revision = self.directory.revision
-        deadline = self.now() + CONFIRM_TIMEOUT_S
+        deadline = self.now() + ENTRIES_UPDATE_TIMEOUT_S
         while self._has_entry_behind(revision):
             remaining_s = deadline - self.now()
             if remaining_s <= 0:
@@ -175,7 +175,7 @@
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
 
-    def expire(self) -> None:
+    def remove_expired(self) -> None:
         """Removes endpoints and entries that have been silent for too long."""
         now = self.now()
         for name in directories.expire(
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -19,7 +19,7 @@
 from _arbutuswalk.storage import errors
 from _arbutuswalk.wire import link
 
-EXIT_STORAGE = 3
+EXIT_STORAGE_FAILED = 3
 EXPIRE_INTERVAL_S = 1.0
 DEFAULT_HEARTBEAT_S = 1.0
 """Interval of endpoint heartbeats if the settings do not specify one."""
@@ -50,7 +50,7 @@
     failure = durable_replica.recover(clock.monotonic())
     if failure is not None:
         events.warn(events.Event.STORAGE_FAILED, errors.describe(failure))
-        return EXIT_STORAGE
+        return EXIT_STORAGE_FAILED
     member = members.Member(durable_replica=durable_replica)
     discovery = discoveries.Discovery(member=member)
     restored = endpoint_cache.load(values["data"])
@@ -78,7 +78,7 @@
     request_service.extra_dump = leader_runner.dump
     member_task = asyncio.ensure_future(member.run())
     leader_task = asyncio.ensure_future(leader_runner.run())
-    expire_task = asyncio.ensure_future(_expire(discovery))
+    expire_task = asyncio.ensure_future(_remove_expired(discovery))
     notify_task = asyncio.ensure_future(_notify_on_change(components))
     cache_task = asyncio.ensure_future(
         _maintain_endpoint_cache(discovery, values, restored)
@@ -104,13 +104,13 @@
     await server.stop()
     await member.stop()
     events.log(events.Event.PROCESS_STOPPED, "control", values["id"])
-    return EXIT_STORAGE if member.failure else process.EXIT_OK
+    return EXIT_STORAGE_FAILED if member.failure else process.EXIT_OK
 
 
-async def _expire(discovery: discoveries.Discovery) -> None:
+async def _remove_expired(discovery: discoveries.Discovery) -> None:
     while True:
         await asyncio.sleep(EXPIRE_INTERVAL_S)
-        discovery.expire()
+        discovery.remove_expired()
 
 
 async def _maintain_endpoint_cache(
@@ -122,7 +122,7 @@
     heartbeat_s = values.get("endpoint_heartbeat_s", DEFAULT_HEARTBEAT_S)
     await asyncio.sleep(endpoint_cache.UNCONFIRMED_HEARTBEATS * heartbeat_s)
     for name in endpoint_cache.unconfirmed(discovery.directory, restored):
-        discovery.drop(name)
+        discovery.remove_endpoint(name)
     saved_revision = -1
     loop = asyncio.get_running_loop()
     while True:
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -231,7 +231,7 @@
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def finish(self) -> None:
+    def end_exchange(self) -> None:
         """Ends the exchange and excludes reuse if request bytes are unsent.
 
         The rest of an unsent request would be taken for part of the next one.
--- a/src/_arbutuswalk/streams/pool.py
+++ b/src/_arbutuswalk/streams/pool.py
@@ -82,7 +82,7 @@
 
     def release(self, connection: connections.Connection) -> None:
         """Returns a connection to the pool after its exchange, or closes it."""
-        connection.finish()
+        connection.end_exchange()
         if connection.reusable and not connection.transport.is_closing():
             self.idle.setdefault(connection.address, []).append(connection)
         else:
