--- a/src/_arbutuswalk/control/main.py
+++ b/src/_arbutuswalk/control/main.py
@@ -8,8 +8,8 @@
 from _arbutuswalk.agreement import types
 from _arbutuswalk.base import process
 from _arbutuswalk.base import settings
+from _arbutuswalk.control import durable_replica
 from _arbutuswalk.control import process as processes
-from _arbutuswalk.control import replicated
 from _arbutuswalk.storage import folder
 
 FIELDS = (
@@ -40,14 +40,16 @@
 )
 
 LEASE_FRACTION = 0.75
-"""Leader's lease as a part of the election timeout."""
+"""Leader lease as a fraction of the election timeout."""
 
 
-def make_core(values: dict[str, Any]) -> replicated.Replicated:
-    """Returns the member's replica with its disk, not recovered yet."""
-    return replicated.Replicated(
+def make_durable_replica(
+    values: dict[str, Any],
+) -> durable_replica.DurableReplica:
+    """Returns the member's replica and its data folder, before recovery."""
+    return durable_replica.DurableReplica(
         data=folder.Folder(path=values["data"]),
-        identity=replicated.Identity(
+        identity=durable_replica.Identity(
             address=values["address"],
             peers=tuple(values["peers"]),
             target_voters=values["voters"],
@@ -63,7 +65,7 @@
 
 
 def main() -> None:
-    """Runs the binary."""
+    """Runs the control process from its settings file."""
     values = process.load_settings("arbutuswalk-control", FIELDS, sys.argv[1:])
     process.start_logging(values["log_level"])
-    sys.exit(asyncio.run(processes.run(values, make_core(values))))
+    sys.exit(asyncio.run(processes.run(values, make_durable_replica(values))))
--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -85,20 +85,20 @@
     if fresh:
         opened = await pool.open(order.address)
     else:
-        opened = await pool.take(order.address, careful=False)
+        opened = await pool.acquire(order.address, non_idempotent=False)
     if isinstance(opened, pools.NotOpened):
         return NotOpened(reason=opened.reason)
     exchange = connections.Exchange(
-        sent_id=order.attempt_id, has_body=order.method != "HEAD"
+        expected_id=order.attempt_id, has_body=order.method != "HEAD"
     )
-    opened.begin(encode(order), exchange)
+    opened.send_request(encode(order), exchange)
     try:
         result = await _follow(opened, exchange, order, until)
     except BaseException:
         opened.abort()
         raise
     if isinstance(result, Reply):
-        pool.give_back(opened)
+        pool.release(opened)
     else:
         opened.abort()
     return result
@@ -113,23 +113,23 @@
     """Collects a whole answer whose end can be told from a cut."""
     body = bytearray()
     while True:
-        body += exchange.take()
-        opened.taken()
-        if attempts.crossed(exchange, order.echo):
-            got = exchange.crossed_id
+        body += exchange.take_body()
+        opened.resume_reading()
+        if attempts.is_mismatched(exchange, order.echo):
+            got = exchange.mismatched_id
             return Lost(reason=f"answer to another attempt: {got!r}")
-        if opened.until_close:
+        if opened.ends_at_close:
             return Lost(reason="answer without length or end marker")
         if len(body) > MAX_REPLY_BYTES:
             return Lost(reason="answer too large")
-        if exchange.over:
+        if exchange.ended:
             break
         left_s = until - clock.monotonic()
-        if not await exchange.news_within(left_s):
+        if not await exchange.wait_for_change(left_s):
             return Lost(reason="no whole answer in time")
     if not exchange.complete:
         return Lost(reason=exchange.failure)
-    content_type = replies.first(exchange.headers, b"content-type")
+    content_type = replies.first_value(exchange.headers, b"content-type")
     return Reply(
         status=exchange.status,
         content_type=content_type.decode("latin-1"),
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -52,7 +52,7 @@
         self.started = relay.now()
         self.first_s = 0.0
         self.exchange = connections.Exchange(
-            sent_id=self.request.id,
+            expected_id=self.request.id,
             has_body=self.request.method != "HEAD",
         )
 
@@ -75,16 +75,16 @@
 
     async def _run(self) -> results.Result:
         careful = not self.request.route.repeatable
-        opened = await self.relay.pool.take(
-            self.endpoint.address, careful=careful
+        opened = await self.relay.pool.acquire(
+            self.endpoint.address, non_idempotent=careful
         )
         if isinstance(opened, pool.NotOpened):
             placing.suspect(self.relay, self.endpoint.id, opened.reason)
-            self.relay.pool.drop(self.endpoint.address)
+            self.relay.pool.close_idle(self.endpoint.address)
             return results.NotSent(reason=opened.reason)
         left_s = self.request.deadline - self.relay.now()
         if self.delivery.left or left_s < results.LEAST_LEFT_S:
-            self.relay.pool.give_back(opened)
+            self.relay.pool.release(opened)
             if self.delivery.left:
                 return results.CallerLeft()
             return results.NotSent(reason="no time left")
@@ -95,8 +95,8 @@
             rank=min(MAX_RANK, self.request.priority),
         )
         data = self.relay.dialect.encode(self.request, send)
-        self.delivery.wake = self.exchange.news.set
-        opened.begin(data, self.exchange)
+        self.delivery.wake = self.exchange.changed.set
+        opened.send_request(data, self.exchange)
         result = await self._follow(opened)
         self._let_go(opened, result)
         return result
@@ -109,14 +109,14 @@
             result, results.Answered | results.Delivered | results.NotRun
         )
         if whole and self.exchange.complete:
-            self.relay.pool.give_back(opened)
+            self.relay.pool.release(opened)
         else:
             opened.abort()
 
     async def _follow(self, opened: connections.Connection) -> results.Result:
         """Waits for the answer's head, then for the rest in its way."""
         deadline = self.request.deadline + ANSWER_GRACE_S
-        while self.exchange.reply is None and not self.exchange.over:
+        while self.exchange.reply is None and not self.exchange.ended:
             ended = await self._news(deadline)
             if ended is not None:
                 return ended
@@ -124,7 +124,7 @@
         reply = self.exchange.reply
         if reply is None:
             return self._lost(self.exchange.failure)
-        if reply.ran and reply.good and self._is_stream():
+        if reply.ran and reply.is_success and self._is_stream():
             return await self._stream(opened, deadline)
         return await self._whole(opened, reply, deadline)
 
@@ -140,11 +140,11 @@
         """Collects a whole answer; nothing of it has gone out yet."""
         body = bytearray()
         while True:
-            body += self.exchange.take()
-            opened.taken()
+            body += self.exchange.take_body()
+            opened.resume_reading()
             if len(body) > MAX_WHOLE_BYTES:
                 return self._lost(f"answer over {MAX_WHOLE_BYTES} bytes")
-            if self.exchange.over:
+            if self.exchange.ended:
                 break
             ended = await self._news(deadline)
             if ended is not None:
@@ -167,8 +167,8 @@
         begun = False
         await self.delivery.start(self.exchange.status, self.exchange.headers)
         while True:
-            data = self.exchange.take()
-            opened.taken()
+            data = self.exchange.take_body()
+            opened.resume_reading()
             if data:
                 if not begun:
                     self.first_s = self.relay.now() - self.started
@@ -176,7 +176,7 @@
                     self._count_begun(self.relay.now())
                 begun = True
                 await self.delivery.feed(data)
-            if self.exchange.over and not self.exchange.pieces:
+            if self.exchange.ended and not self.exchange.chunks:
                 break
             ended = await self._news(deadline, stalls=begun)
             if ended is not None:
@@ -194,10 +194,10 @@
         until = deadline
         may_resume = stalls and self.request.route.resumable
         if may_resume:
-            until = min(until, self.exchange.heard_at + STALL_S)
+            until = min(until, self.exchange.last_received_at + STALL_S)
         if self.delivery.left:
             return results.CallerLeft()
-        if not await self.exchange.news_within(until - now):
+        if not await self.exchange.wait_for_change(until - now):
             if until < deadline:
                 return self._lost("stream stalled")
             return results.TimedOut(reason="no time left")
@@ -211,7 +211,7 @@
             self.relay.now(),
         )
         placing.suspect(self.relay, self.endpoint.id, reason)
-        self.relay.pool.drop(self.endpoint.address)
+        self.relay.pool.close_idle(self.endpoint.address)
         return results.Lost(reason=reason)
 
     def _count_begun(self, at: float) -> None:
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -1,7 +1,7 @@
-"""A connection to an upstream: one exchange at a time, nothing trusted.
+"""HTTP connection to an upstream that carries one exchange at a time.
 
-Bytes that come while no answer is due make the connection unusable, and so
-does an answer to another request unless the right one follows it.
+Unexpected bytes and a response to another request both exclude the connection
+from reuse. A mismatched response is skipped, so that the right one may follow.
 """
 
 import asyncio
@@ -15,71 +15,72 @@
 from _arbutuswalk.wire import sockets
 
 MAX_HEADER_BYTES = 64 * 1024
-PAUSE_BYTES = 256 * 1024
-"""Bytes waiting for a slow caller at which reading stops."""
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Bytes buffered for a slow caller above which reading is paused."""
 NO_BODY_STATUSES = (204, 304)
 
 
 class Exchange:
-    """One request on a connection and the answer to it.
+    """One request on a connection and the response to it.
 
     Attributes:
-        sent_id: Id that the answer has to bear.
-        has_body: Whether the answer to this method has a body.
-        feed: Takes pieces of the body in the callback that brings them, so
-            that no task wakes up for each; None to keep them.
-        crossed_id: Id that an answer bore which belongs to another exchange.
-        status: Answer's status, 0 before it is known.
-        headers: Answer's headers.
-        reply: What they mean, None before.
-        pieces: Pieces of the body not taken yet.
-        waiting_bytes: Their size.
-        complete: Whether the whole answer has come.
-        failure: Why there is no more to come, empty while there may be.
-        heard_at: When a byte of the answer last came.
+        expected_id: Id that the response must carry.
+        has_body: Whether a response to this method has a body.
+        on_body: Called with each chunk of the body directly from the parser, so
+            that no task is woken per chunk; None to buffer the chunks.
+        mismatched_id: Id of a received response to another exchange, or empty.
+        status: Status of the response, 0 before it is known.
+        headers: Headers of the response.
+        reply: Interpretation of status and headers, None before they are known.
+        chunks: Buffered chunks of the body.
+        buffered_bytes: Total size of the buffered chunks.
+        complete: Whether the response has been received completely.
+        failure: Why the response ended early, empty if it has not.
+        last_received_at: When data was last received.
+        changed: Set when any of these has changed.
     """
 
     def __init__(
         self,
         *,
-        sent_id: str,
+        expected_id: str,
         has_body: bool,
-        feed: Callable[[bytes], None] | None = None,
+        on_body: Callable[[bytes], None] | None = None,
     ):
-        self.sent_id = sent_id
+        self.expected_id = expected_id
         self.has_body = has_body
-        self.feed = feed
-        self.crossed_id = ""
+        self.on_body = on_body
+        self.mismatched_id = ""
         self.status = 0
         self.headers: replies.Headers = []
         self.reply: replies.Reply | None = None
-        self.pieces: collections.deque[bytes] = collections.deque()
-        self.waiting_bytes = 0
+        self.chunks: collections.deque[bytes] = collections.deque()
+        self.buffered_bytes = 0
         self.complete = False
         self.failure = ""
-        self.heard_at = clock.monotonic()
-        self.news = asyncio.Event()
+        self.last_received_at = clock.monotonic()
+        self.changed = asyncio.Event()
 
     @property
-    def over(self) -> bool:
-        """Whether nothing more will come."""
+    def ended(self) -> bool:
+        """Whether the response is complete or has failed."""
         return self.complete or bool(self.failure)
 
-    async def news_within(self, left_s: float) -> bool:
-        """Waits until something new is known; false if time runs out."""
-        self.news.clear()
+    async def wait_for_change(self, timeout_s: float) -> bool:
+        """Waits for the next change; returns false on a timeout."""
+        self.changed.clear()
         try:
-            async with asyncio.timeout(max(0.0, left_s)):
-                await self.news.wait()
+            async with asyncio.timeout(max(0.0, timeout_s)):
+                await self.changed.wait()
         except TimeoutError:
             return False
         return True
 
-    def take(self) -> bytes:
-        """Returns all pieces that wait, in one."""
-        data = b"".join(self.pieces)
-        self.pieces.clear()
-        self.waiting_bytes = 0
+    def take_body(self) -> bytes:
+        """Removes and returns the buffered part of the body."""
+        data = b"".join(self.chunks)
+        self.chunks.clear()
+        self.buffered_bytes = 0
         return data
 
 
@@ -88,158 +89,162 @@
 
     Attributes:
         address: ``IP:port`` of the upstream.
-        exchange: Exchange under way, None while idle.
+        read_reply: Interprets the status and headers of a response.
+        on_close: Called once the connection has closed.
+        exchange: Current exchange, None while idle.
         idle_since: When the last exchange ended.
-        idle_s: How long the upstream keeps an idle connection, if known.
-        usable: Whether another exchange may begin.
+        keep_alive_s: How long the upstream keeps an idle connection, if known.
+        reusable: Whether the connection may carry another exchange.
+        ends_at_close: Whether the end of the connection ends the body.
+        ignoring_body: Whether the current response is a mismatched one.
     """
 
     def __init__(
         self,
         *,
         address: str,
-        read: Callable[[int, replies.Headers], replies.Reply],
+        read_reply: Callable[[int, replies.Headers], replies.Reply],
         on_close: Callable[["Connection"], None],
     ):
         self.address = address
-        self.read = read
+        self.read_reply = read_reply
         self.on_close = on_close
         self.exchange: Exchange | None = None
         self.idle_since = clock.monotonic()
-        self.idle_s: float | None = None
-        self.usable = True
+        self.keep_alive_s: float | None = None
+        self.reusable = True
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = None
         self.headers: replies.Headers = []
         self.header_bytes = 0
         self.status = 0
-        self.until_close = False
-        self.skipping = False
+        self.ends_at_close = False
+        self.ignoring_body = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Sets the socket up."""
+        """Configures detection of dead peers on the socket."""
         self.transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sockets.detect_silence(sock)
 
-    def begin(self, data: bytes, exchange: Exchange) -> None:
-        """Sends a request whose answer goes to ``exchange``."""
+    def send_request(self, data: bytes, exchange: Exchange) -> None:
+        """Sends a request; its response is stored in ``exchange``."""
         self.exchange = exchange
         self.parser = httptools.HttpResponseParser(self)
         self.transport.write(data)
 
     def abort(self) -> None:
-        """Closes the connection at once; its upstream stops the work."""
-        self.usable = False
+        """Closes the connection at once, so that the upstream stops work."""
+        self.reusable = False
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser, which calls back below."""
+        """Passes data to the parser, which calls the ``on_`` methods."""
         exchange = self.exchange
         if exchange is None:
             self.abort()
             return
-        exchange.heard_at = clock.monotonic()
+        exchange.last_received_at = clock.monotonic()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"not HTTP: {error}")
+            self._set_failure(f"not HTTP: {error}")
             self.abort()
 
     def eof_received(self) -> None:
-        """Completes an answer that ends with its connection."""
-        if self.exchange is not None and self.until_close:
+        """Completes a response whose body ends with the connection."""
+        if self.exchange is not None and self.ends_at_close:
             self._complete()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Ends what was not complete."""
-        self.usable = False
-        self._fail(f"connection lost: {error or 'closed'}")
+        """Fails an exchange that is not complete."""
+        self.reusable = False
+        self._set_failure(f"connection lost: {error or 'closed'}")
         self.on_close(self)
 
     def on_message_begin(self) -> None:
-        """Starts an answer; one too many makes the connection unusable."""
+        """Starts a response; an unexpected one excludes reuse."""
         self.headers = []
         self.header_bytes = 0
-        if self.exchange is None or self.exchange.over:
-            self.usable = False
+        if self.exchange is None or self.exchange.ended:
+            self.reusable = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keeps a header."""
+        """Stores a header, up to the limit for all headers together."""
         self.header_bytes += len(name) + len(value)
         if self.header_bytes > MAX_HEADER_BYTES:
             raise ValueError("headers too large")
         self.headers.append((name.lower(), value.strip()))
 
     def on_headers_complete(self) -> None:
-        """Hands status and headers over, if they answer this request."""
+        """Stores status and headers if they belong to this exchange."""
         self.status = self.parser.get_status_code()
         exchange = self.exchange
-        if exchange is None or exchange.over or self._is_interim():
+        if exchange is None or exchange.ended or self._is_interim():
             return
-        reply = self.read(self.status, self.headers)
-        self.skipping = reply.answers not in ("", exchange.sent_id)
-        if self.skipping:
-            self.usable = False
-            exchange.crossed_id = reply.answers
-            exchange.news.set()
+        reply = self.read_reply(self.status, self.headers)
+        self.ignoring_body = reply.answered_id not in ("", exchange.expected_id)
+        if self.ignoring_body:
+            self.reusable = False
+            exchange.mismatched_id = reply.answered_id
+            exchange.changed.set()
             return
-        self.until_close = exchange.has_body and self._ends_with_close()
-        if self.until_close or reply.closing:
-            self.usable = False
-        self.idle_s = reply.idle_s
+        self.ends_at_close = exchange.has_body and self._body_ends_at_close()
+        if self.ends_at_close or reply.closes_connection:
+            self.reusable = False
+        self.keep_alive_s = reply.keep_alive_s
         exchange.status = self.status
         exchange.headers = self.headers
         exchange.reply = reply
-        exchange.news.set()
+        exchange.changed.set()
         if not exchange.has_body:
-            self.usable = False
+            self.reusable = False
             self._complete()
 
     def on_body(self, data: bytes) -> None:
-        """Queues a piece of the body."""
+        """Buffers a chunk of the body or passes it to the callback."""
         exchange = self.exchange
-        if exchange is None or exchange.over or self.skipping:
+        if exchange is None or exchange.ended or self.ignoring_body:
             return
-        if exchange.feed is not None:
-            exchange.feed(data)
+        if exchange.on_body is not None:
+            exchange.on_body(data)
             return
-        exchange.pieces.append(data)
-        exchange.waiting_bytes += len(data)
-        if exchange.waiting_bytes > PAUSE_BYTES:
+        exchange.chunks.append(data)
+        exchange.buffered_bytes += len(data)
+        if exchange.buffered_bytes > MAX_BUFFERED_BYTES:
             self.transport.pause_reading()
-        exchange.news.set()
+        exchange.changed.set()
 
     def on_message_complete(self) -> None:
-        """Completes the answer, unless it was interim or another's."""
-        if self._is_interim() or self.skipping or self.until_close:
-            self.skipping = False
+        """Completes the response, unless it is interim or mismatched."""
+        if self._is_interim() or self.ignoring_body or self.ends_at_close:
+            self.ignoring_body = False
             return
         if not self.parser.should_keep_alive():
-            self.usable = False
+            self.reusable = False
         self._complete()
 
-    def taken(self) -> None:
-        """Goes on reading after a slow caller took what waited."""
+    def resume_reading(self) -> None:
+        """Resumes reading after the buffered body was taken."""
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
-    def finish(self) -> None:
-        """Ends the exchange; the connection may be used again if it is clean.
+    def end_exchange(self) -> None:
+        """Ends the exchange and excludes reuse if request bytes are unsent.
 
-        A request whose bytes have not all left would run into the next one.
+        The rest of an unsent request would be taken for part of the next one.
         """
         self.exchange = None
         self.idle_since = clock.monotonic()
         if self.transport.get_write_buffer_size():
-            self.usable = False
+            self.reusable = False
 
     def _is_interim(self) -> bool:
         return 100 <= self.status < 200
 
-    def _ends_with_close(self) -> bool:
+    def _body_ends_at_close(self) -> bool:
         if self.status in NO_BODY_STATUSES:
             return False
         names = {name for name, _ in self.headers}
@@ -247,13 +252,13 @@
 
     def _complete(self) -> None:
         exchange = self.exchange
-        if exchange is not None and not exchange.over:
+        if exchange is not None and not exchange.ended:
             exchange.complete = True
-            exchange.news.set()
+            exchange.changed.set()
 
-    def _fail(self, reason: str) -> None:
-        self.usable = False
+    def _set_failure(self, reason: str) -> None:
+        self.reusable = False
         exchange = self.exchange
-        if exchange is not None and not exchange.over:
+        if exchange is not None and not exchange.ended:
             exchange.failure = reason
-            exchange.news.set()
+            exchange.changed.set()
--- a/src/_arbutuswalk/streams/replies.py
+++ b/src/_arbutuswalk/streams/replies.py
@@ -1,4 +1,4 @@
-"""What an upstream's status and headers mean, whatever its dialect."""
+"""Dialect-independent meaning of a response's status and headers."""
 
 from typing import NamedTuple
 
@@ -7,26 +7,26 @@
 
 
 class Reply(NamedTuple):
-    """What an upstream's status and headers mean.
+    """Meaning of a response's status and headers.
 
     Attributes:
-        ran: False if the upstream says that the request has not run.
-        answers: Id of the exchange that it answers, or empty.
-        good: Whether it is a success.
-        idle_s: How long the upstream keeps the connection, if it says so.
-        closing: Whether the upstream closes the connection afterwards.
+        ran: False if the upstream states that the request did not run.
+        answered_id: Id of the exchange that the response belongs to, or empty.
+        is_success: Whether the status is a success.
+        keep_alive_s: How long the upstream keeps an idle connection, if stated.
+        closes_connection: Whether the upstream closes it afterwards.
     """
 
     ran: bool
-    answers: str
-    good: bool
-    idle_s: float | None
-    closing: bool
+    answered_id: str
+    is_success: bool
+    keep_alive_s: float | None
+    closes_connection: bool
 
 
-def first(headers: Headers, name: bytes) -> bytes:
-    """Returns the first value of a header, empty if there is none."""
-    for known, value in headers:
-        if known == name:
+def first_value(headers: Headers, name: bytes) -> bytes:
+    """Returns the first value of a header, or an empty value."""
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return b""
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of model requests over dying, silent, leaving runners."""
+"""Stateful fuzz test of model requests over runners that fail."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import attempts
 
-TOKEN_S = 0.05
+TOKEN_INTERVAL_S = 0.05
 MAX_TOKENS = 12
 RUNNERS = 5
 MODES = ["good", "good", "good", "broke", "silent", "cross", "error", "down"]
@@ -30,7 +30,7 @@
 
 
 class Runner:
-    """A runner that announces itself and generates checkable tokens."""
+    """A runner that announces itself and generates verifiable tokens."""
 
     def __init__(self, identity, incarnation):
         self.identity = identity
@@ -55,7 +55,7 @@
 
 
 class Fleet:
-    """The runners, and what their connections do."""
+    """The runners and the faults of connections to them."""
 
     def __init__(self, loop, rng):
         self.loop = loop
@@ -77,12 +77,13 @@
     def die(self, runner, reference=None):
         if runner.alive:
             runner.alive = False
-            # One that is leaving is lost already, whatever ends it.
+            # A leaving runner is lost in any case and counts against no
+            # request.
             if reference and not runner.leaving:
-                seen = self.killed_by.get(reference, 0)
-                self.killed_by[reference] = seen + 1
+                kills = self.killed_by.get(reference, 0)
+                self.killed_by[reference] = kills + 1
 
-    async def run(self, order, deadlines, feed):
+    async def run(self, order, deadlines, on_events):
         runner = self.at(order.address)
         mode = self.rng.choice(self.modes)
         await asyncio.sleep(0.002)
@@ -92,30 +93,30 @@
             return attempts.Crossed(got="another")
         if mode == "error":
             return attempts.Declined(status=500, detail="fault")
-        return await self._generate(runner, order, deadlines, feed, mode)
+        return await self._generate(runner, order, deadlines, on_events, mode)
 
-    async def _generate(self, runner, order, deadlines, feed, mode):
+    async def _generate(self, runner, order, deadlines, on_events, mode):
         prompt = requests.prompt_of(order.body)
         reference = engine.reference_of(prompt)
-        nonce, place = engine.start_of(order.body.get("continue_from"))
-        stop = self.rng.randint(place, MAX_TOKENS)
-        while place < order.body["max_tokens"]:
-            await asyncio.sleep(TOKEN_S)
-            if POISON in prompt and place >= 3:
+        nonce, position = engine.start_of(order.body.get("continue_from"))
+        fault_position = self.rng.randint(position, MAX_TOKENS)
+        while position < order.body["max_tokens"]:
+            await asyncio.sleep(TOKEN_INTERVAL_S)
+            if POISON in prompt and position >= 3:
                 self.die(runner, reference)
             if not runner.alive:
                 return attempts.Broke(reason="reset")
-            if place == stop and mode == "broke":
+            if position == fault_position and mode == "broke":
                 return attempts.Broke(reason="cut")
-            if place == stop and mode == "silent":
+            if position == fault_position and mode == "silent":
                 await asyncio.sleep(deadlines.gap_s)
                 return attempts.Silent(after_s=deadlines.gap_s)
-            word = engine.token(reference, nonce, place)
-            choice = {"index": 0, "text": word}
+            token = engine.token(reference, nonce, position)
+            choice = {"index": 0, "text": token}
             body = json.dumps({"choices": [choice]}).encode()
-            feed([b"data: " + body])
-            place += 1
-        feed([b"data: [DONE]"])
+            on_events([b"data: " + body])
+            position += 1
+        on_events([b"data: [DONE]"])
         return attempts.Completed(cached_tokens=0)
 
 
@@ -280,7 +281,7 @@
         try:
             if hasattr(self, "fleet"):
                 self.fleet.modes = ["good"]
-                self._pass(3)  # whatever is leaving goes
+                self._pass(3)  # until all leaving runners are gone
                 for i in range(RUNNERS):
                     self.replace(i)
                 self._pass(100)
