--- a/src/_arbutuswalk/limits/__init__.py
+++ b/src/_arbutuswalk/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Fair queues, early refusals and retry budgets."""
+"""Fair queues, quotas and retry limits."""
--- a/src/_arbutuswalk/limits/budget.py
+++ b/src/_arbutuswalk/limits/budget.py
@@ -1,18 +1,18 @@
-"""Retry budgets: retries are paid for by first attempts and by time."""
+"""Retry budgets: token buckets refilled by first attempts and by time."""
 
-DEPOSIT = 0.05
-"""What each first attempt adds; at load, retries stay below this share."""
-REFILL_PER_S = 0.5
-"""What time adds, so that little traffic does not mean no retries."""
+TOKENS_PER_ATTEMPT = 0.05
+"""Tokens added per first attempt; under load it bounds the retry ratio."""
+REFILL_TOKENS_PER_S = 0.5
+"""Tokens added per second, so that retries are possible at low traffic."""
 CAPACITY = 10.0
 
 
 class Budget:
-    """Tokens for retries towards one upstream name.
+    """Retry tokens of one upstream name.
 
     Attributes:
-        tokens: Retries that may be made now.
-        refilled_at: When time last added to them, in seconds.
+        tokens: Retries currently permitted.
+        refilled_at: Time of the last refill by time, in seconds.
     """
 
     def __init__(self, *, now: float, tokens: float = CAPACITY):
@@ -20,12 +20,12 @@
         self.refilled_at = now
 
     def deposit(self) -> None:
-        """Notes a first attempt."""
-        self.tokens = min(CAPACITY, self.tokens + DEPOSIT)
+        """Adds the tokens of a first attempt."""
+        self.tokens = min(CAPACITY, self.tokens + TOKENS_PER_ATTEMPT)
 
     def withdraw(self, now: float) -> bool:
-        """Takes a token for a retry; returns whether there was one."""
-        added = (now - self.refilled_at) * REFILL_PER_S
+        """Takes a token for a retry; returns whether one was available."""
+        added = (now - self.refilled_at) * REFILL_TOKENS_PER_S
         self.tokens = min(CAPACITY, self.tokens + added)
         self.refilled_at = now
         if self.tokens < 1.0:
--- a/src/_arbutuswalk/limits/fair.py
+++ b/src/_arbutuswalk/limits/fair.py
@@ -1,4 +1,4 @@
-"""Deficit round robin between workspaces, earliest deadline within one."""
+"""Deficit round robin across workspaces, earliest deadline first within one."""
 
 import collections
 import heapq
@@ -7,19 +7,19 @@
 from typing import Any
 
 QUANTUM = 256
-"""Cost a workspace of weight one may spend in a round, in tokens."""
+"""Tokens that a workspace of weight one may use per round."""
 
 
 class Ticket:
     """A request that waits for an upstream.
 
     Attributes:
-        workspace: Whose it is.
-        weight: Share of the workspace.
-        cost: Estimated tokens it will take.
-        deadline: When it is of no more use, in seconds.
-        payload: What the caller attached.
-        cancelled: Whether nobody waits for it any more.
+        workspace: Workspace of the caller.
+        weight: Scheduling weight of the workspace.
+        cost: Estimated tokens of the request.
+        deadline: Deadline of the request, in seconds.
+        payload: Arbitrary object attached by the user of the queue.
+        cancelled: Whether the request was cancelled while waiting.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
 
 
 class FairQueue:
-    """Tickets of all workspaces for one upstream name.
+    """Fair queue of one upstream name for all workspaces.
 
     Attributes:
-        heaps: Tickets of each workspace by deadline.
-        deficits: What each waiting workspace may still spend this round.
+        heaps: Heap of tickets by deadline, for each workspace.
+        deficits: Tokens that each waiting workspace may still use this round.
         waiting_cost: Sum of the costs of all tickets.
     """
 
@@ -54,24 +54,25 @@
         )
         self.deficits: dict[str, float] = {}
         self.waiting_cost = 0
-        self.order = itertools.count()
+        self.sequence = itertools.count()
 
     def __len__(self) -> int:
-        """Returns the number of tickets, cancelled ones included."""
+        """Returns the number of tickets, including cancelled ones."""
         return sum(len(heap) for heap in self.heaps.values())
 
     def push(self, ticket: Ticket) -> None:
         """Adds a ticket."""
         heap = self.heaps.setdefault(ticket.workspace, [])
         self.deficits.setdefault(ticket.workspace, 0.0)
-        heapq.heappush(heap, (ticket.deadline, next(self.order), ticket))
+        heapq.heappush(heap, (ticket.deadline, next(self.sequence), ticket))
         self.waiting_cost += ticket.cost
 
     def cost_ahead(self, ticket: Ticket, total_weight: float) -> float:
-        """Returns the cost served before a new ticket would be.
+        """Estimates the total cost served before a new ticket.
 
-        Its own workspace's earlier deadlines go first; the others get their
-        share meanwhile, but no more than they have waiting.
+        Tickets of the same workspace with earlier deadlines are served first;
+        meanwhile the other workspaces get their shares, at most what they
+        have waiting.
         """
         own = sum(
             other.cost
@@ -81,40 +82,40 @@
         share = ticket.weight / max(total_weight, ticket.weight)
         return min(self.waiting_cost, own / share)
 
-    def serve(self, place: Callable[[Ticket], bool]) -> None:
-        """Hands tickets to ``place`` in fair order until it declines.
+    def serve(self, try_place: Callable[[Ticket], bool]) -> None:
+        """Passes tickets to ``try_place`` in fair order until it declines.
 
         Args:
-            place: Returns whether the ticket found an upstream.
+            try_place: Returns whether the ticket was placed on an upstream.
         """
         while True:
-            ticket = self._head()
-            if ticket is None or not place(ticket):
+            ticket = self._next_ticket()
+            if ticket is None or not try_place(ticket):
                 return
-            self._pop(ticket)
+            self._take_ticket(ticket)
 
-    def drop(self, is_dead: Callable[[Ticket], bool]) -> list[Ticket]:
-        """Removes and returns the tickets for which ``is_dead`` holds."""
-        dropped = []
+    def drop(self, should_remove: Callable[[Ticket], bool]) -> list[Ticket]:
+        """Removes and returns the tickets that satisfy ``should_remove``."""
+        removed = []
         for workspace, heap in list(self.heaps.items()):
-            dead = [item for item in heap if is_dead(item[2])]
-            if not dead:
+            removed_items = [item for item in heap if should_remove(item[2])]
+            if not removed_items:
                 continue
-            dropped += [item[2] for item in dead]
-            kept = [item for item in heap if not is_dead(item[2])]
-            heapq.heapify(kept)
-            self.heaps[workspace] = kept
-            if not kept:
-                self._forget(workspace)
-        self.waiting_cost -= sum(ticket.cost for ticket in dropped)
-        return dropped
-
-    def _head(self) -> Ticket | None:
-        """Returns the next ticket, topping deficits up round by round."""
+            removed += [item[2] for item in removed_items]
+            remaining = [item for item in heap if not should_remove(item[2])]
+            heapq.heapify(remaining)
+            self.heaps[workspace] = remaining
+            if not remaining:
+                self._remove_workspace(workspace)
+        self.waiting_cost -= sum(ticket.cost for ticket in removed)
+        return removed
+
+    def _next_ticket(self) -> Ticket | None:
+        """Returns the next ticket; adds a quantum per workspace and round."""
         while self.heaps:
             workspace, heap = next(iter(self.heaps.items()))
             if heap[0][2].cancelled:
-                self._discard_head(workspace, heap)
+                self._discard_cancelled(workspace, heap)
                 continue
             ticket = heap[0][2]
             if self.deficits[workspace] >= ticket.cost:
@@ -125,23 +126,23 @@
             self.heaps.move_to_end(workspace)
         return None
 
-    def _discard_head(self, workspace: str, heap: list) -> None:
+    def _discard_cancelled(self, workspace: str, heap: list) -> None:
         _, _, ticket = heapq.heappop(heap)
         self.waiting_cost -= ticket.cost
         if not heap:
-            self._forget(workspace)
+            self._remove_workspace(workspace)
 
-    def _pop(self, ticket: Ticket) -> None:
+    def _take_ticket(self, ticket: Ticket) -> None:
         heap = self.heaps[ticket.workspace]
         heapq.heappop(heap)
         self.deficits[ticket.workspace] -= ticket.cost
         self.waiting_cost -= ticket.cost
         if not heap:
-            self._forget(ticket.workspace)
+            self._remove_workspace(ticket.workspace)
         elif self.deficits[ticket.workspace] < heap[0][2].cost:
             self.heaps.move_to_end(ticket.workspace)
 
-    def _forget(self, workspace: str) -> None:
-        """Drops an idle workspace; unused deficit does not add up."""
+    def _remove_workspace(self, workspace: str) -> None:
+        """Removes an idle workspace; unused deficit does not accumulate."""
         del self.heaps[workspace]
         del self.deficits[workspace]
--- a/src/_arbutuswalk/limits/quota.py
+++ b/src/_arbutuswalk/limits/quota.py
@@ -1,44 +1,43 @@
-"""Quotas of workspaces, shared by entries that hear of each other with a lag.
+"""Workspace quotas that all entries share with delayed reports.
 
-Every entry keeps an estimate of the one bucket that all of them draw from: its
-own takings count at once, those of the others when control tells of them, and
-what they probably took since then is held back. An entry that hears nothing
-keeps to an equal share, and the others leave that share to it.
+Every entry keeps an estimate of the token bucket that all entries share. It
+subtracts its own use immediately, the use of other entries when control
+reports it, and holds back an estimate of their unreported use. An entry
+without reports limits itself to an equal share, which the others reserve
+for it.
 """
 
 from typing import NamedTuple
 
-LAG_LIMIT_S = 1.5
-"""Age of the last news from which an entry keeps to an equal share: three
-rounds of news."""
-SPAN_S = 0.5
-"""Time over which what others take is measured: a round of news."""
-RATE_WEIGHT = 0.5
-"""Weight of the newest span in the estimate of what others take."""
-
-
-LATE_PART = 0.3
-"""Part of the burst that late requests leave for those that are on time: a
-workspace over its quota would else spend it on answers that come too late."""
-EQUAL_WEIGHT = 0.5
-"""Weight of the assumption that all entries draw alike, as a part of the rate:
-it decides until their rates have been measured."""
-LARGE_PART = 0.1
-"""Part of the burst from which a request counts as large."""
-RESERVE_PART = 0.3
-"""Part of the burst that large requests leave for small ones."""
-SLACK_PART = 0.6
-"""Part of the permitted overshoot that is given out; the rest covers what
-entries take before they hear of each other."""
+MAX_REPORT_AGE_S = 1.5
+"""Age of the last report above which an entry limits itself to an equal share:
+three report intervals."""
+RATE_SPAN_S = 0.5
+"""Minimum time over which rates are measured: one report interval."""
+RATE_SMOOTHING_FACTOR = 0.5
+"""Weight of the newest measurement in the smoothed rates."""
+LATE_RESERVE_FRACTION = 0.3
+"""Fraction of the burst that late requests leave for requests that are on time.
+Otherwise a workspace over its quota would use it for late responses."""
+EQUAL_RATE_PRIOR_FRACTION = 0.5
+"""Weight of the prior that all entries use equal rates, as a fraction of the
+rate; it dominates until rates have been measured."""
+LARGE_REQUEST_FRACTION = 0.1
+"""Fraction of the burst from which a request counts as large."""
+SMALL_RESERVE_FRACTION = 0.3
+"""Fraction of the burst that large requests leave for small ones."""
+USED_OVERSHOOT_FRACTION = 0.6
+"""Fraction of the permitted overshoot that is used deliberately; the rest
+covers what entries take before their reports reach each other."""
 
 
 class Terms(NamedTuple):
-    """How exactly a quota has to be kept.
+    """Accuracy with which a quota must be enforced.
 
     Attributes:
-        window_s: Length of the windows in which it is checked.
-        overshoot: Part by which a window may exceed rate and burst.
-        tolerance: Tokens by which it may exceed them besides.
+        window_s: Length of the windows in which the quota is checked.
+        overshoot: Fraction by which a window may exceed rate and burst.
+        tolerance: Tokens by which it may exceed them in addition.
     """
 
     window_s: float
@@ -47,110 +46,124 @@
 
 
 def loosen(rate: float, burst: float, terms: Terms) -> tuple[float, float]:
-    """Returns the rate and burst to use.
+    """Returns the rate and burst to enforce.
 
-    A refusal of what the quota would permit costs its caller more than a
-    small overshoot costs anyone, so part of the permitted one is given out,
-    half of it as rate and half as burst.
+    Wrongly refusing a request costs its caller more than a small overshoot
+    costs the system, so a part of the permitted overshoot is used. Half of the
+    tolerance is added to the rate and half to the burst.
     """
-    more = 1 + SLACK_PART * terms.overshoot
-    extra = SLACK_PART * terms.tolerance / 2
-    return rate * more + extra / terms.window_s, burst * more + extra
+    factor = 1 + USED_OVERSHOOT_FRACTION * terms.overshoot
+    extra_tokens = USED_OVERSHOOT_FRACTION * terms.tolerance / 2
+    return (
+        rate * factor + extra_tokens / terms.window_s,
+        burst * factor + extra_tokens,
+    )
 
 
 class Bucket:
-    """A workspace's bucket, as one entry sees it.
+    """One entry's estimate of a workspace's shared token bucket.
 
     Attributes:
-        rate: Tokens a second for all entries together.
-        burst: Most tokens that may be there at once.
-        level: Tokens that are there by all that is known.
-        filled_at: When the level was last brought up to date, in seconds.
-        part: Part of rate and burst that may be drawn on, below 1 while
-            entries cannot be heard.
-        entries: Entries that draw from the bucket.
-        told: Tokens of requests that this entry refused lately and told when
-            to come back.
-        taken: What this entry took since its start.
-        others: What the others were last said to have taken.
-        others_rate: What they take a second, estimated.
-        own_rate: What this entry takes a second, estimated.
-        fresh: What this entry took since the last news.
-        fresh_before: What it took between that and the news before.
-        span_taken: What others took since ``span_at``.
-        heard_at: When the others were last heard of.
+        rate: Tokens per second for all entries together.
+        burst: Maximum tokens in the bucket.
+        level: Estimated tokens in the bucket.
+        refilled_at: Time of the last refill, in seconds.
+        part: Fraction of rate and burst that this entry may use, below 1
+            while entries are unreachable.
+        entries: Number of entries that share the bucket.
+        promised: Tokens of recently refused requests whose callers were told
+            when to retry.
+        taken: Tokens that this entry took since its start.
+        others_taken: Total of the other entries by the last report, None
+            before the first.
+        others_rate: Estimated tokens per second of the other entries.
+        own_rate: Estimated tokens per second of this entry.
+        taken_since_report: Tokens that this entry took since the last report.
+        taken_before_report: Tokens that it took between the last two reports.
+        span_others_taken: Tokens of other entries since ``span_started_at``.
+        span_start_taken: ``taken`` at ``span_started_at``.
+        span_started_at: Start of the current rate measurement, in seconds.
+        heard_at: Time of the last report, in seconds.
     """
 
     def __init__(self, *, rate: float, burst: float, now: float):
         self.rate = rate
         self.burst = burst
         self.level = burst
-        self.filled_at = now
+        self.refilled_at = now
         self.part = 1.0
         self.entries = 1
-        self.told = 0.0
+        self.promised = 0.0
         self.taken = 0.0
-        self.others: float | None = None
+        self.others_taken: float | None = None
         self.others_rate = 0.0
         self.own_rate = 0.0
-        self.fresh = 0.0
-        self.fresh_before = 0.0
-        self.span_taken = 0.0
-        self.span_own = 0.0
-        self.span_at = now
+        self.taken_since_report = 0.0
+        self.taken_before_report = 0.0
+        self.span_others_taken = 0.0
+        self.span_start_taken = 0.0
+        self.span_started_at = now
         self.heard_at = now
 
     def resize(self, rate: float, burst: float, now: float) -> None:
-        """Takes a new rate and burst; never adds to the level."""
-        self._fill(now)
+        """Changes rate and burst; never raises the level."""
+        self._refill(now)
         self.rate = rate
         self.burst = burst
         self.level = min(self.level, burst)
 
     def hear(self, others: float, now: float) -> None:
-        """Takes news of what the other entries took in all."""
-        self._fill(now)
+        """Processes a report of the total that the other entries took."""
+        self._refill(now)
         self.heard_at = now
-        self.fresh_before, self.fresh = self.fresh, 0.0
-        if self.others is None:
-            self.others = others
+        self.taken_before_report, self.taken_since_report = (
+            self.taken_since_report,
+            0.0,
+        )
+        if self.others_taken is None:
+            self.others_taken = others
             return
-        fresh = max(0.0, others - self.others)
-        self.others = max(self.others, others)
-        self.level -= fresh
-        self._estimate(fresh, now)
+        newly_taken = max(0.0, others - self.others_taken)
+        self.others_taken = max(self.others_taken, others)
+        self.level -= newly_taken
+        self._update_rates(newly_taken, now)
 
-    def _unheard(self, lag: float) -> float:
-        """Estimates what others took that was not told yet.
+    def _estimate_unreported(self, report_age_s: float) -> float:
+        """Estimates the unreported use of the other entries.
 
-        They draw when this entry does: where the bucket runs empty, all see
-        the same tokens come in and take them at the same time.
+        Their use correlates with this entry's: when the bucket is empty, all
+        entries see the same refill and take it at the same time. The estimate
+        is the larger of one from their rate and one from this entry's use.
         """
-        by_time = self.others_rate * lag
-        equal = self.rate / self.entries * EQUAL_WEIGHT
-        ratio = (self.others_rate + equal * (self.entries - 1)) / (
-            self.own_rate + equal
+        rate_estimate = self.others_rate * report_age_s
+        equal_rate = self.rate / self.entries * EQUAL_RATE_PRIOR_FRACTION
+        ratio = (self.others_rate + equal_rate * (self.entries - 1)) / (
+            self.own_rate + equal_rate
         )
         ratio = min(ratio, self.entries - 1)
-        by_own = (self.fresh + self.fresh_before) * ratio
-        return max(by_time, by_own)
+        own_draw_estimate = (
+            self.taken_since_report + self.taken_before_report
+        ) * ratio
+        return max(rate_estimate, own_draw_estimate)
 
-    def _estimate(self, fresh: float, now: float) -> None:
-        """Estimates what others take a second, over spans of equal length.
+    def _update_rates(self, newly_taken: float, now: float) -> None:
+        """Updates the estimated rates over spans of at least ``RATE_SPAN_S``.
 
-        News from several control processes come close behind each other, so
-        that a rate between two of them would say nothing.
+        Reports of several control processes arrive in quick succession, so the
+        rate between two consecutive reports is meaningless.
         """
-        self.span_taken += fresh
-        passed = now - self.span_at
-        if passed >= SPAN_S:
-            others = self.span_taken / passed
-            own = (self.taken - self.span_own) / passed
-            self.others_rate += RATE_WEIGHT * (others - self.others_rate)
-            self.own_rate += RATE_WEIGHT * (own - self.own_rate)
-            self.span_taken = 0.0
-            self.span_own = self.taken
-            self.span_at = now
+        self.span_others_taken += newly_taken
+        elapsed_s = now - self.span_started_at
+        if elapsed_s >= RATE_SPAN_S:
+            others_rate = self.span_others_taken / elapsed_s
+            own_rate = (self.taken - self.span_start_taken) / elapsed_s
+            self.others_rate += RATE_SMOOTHING_FACTOR * (
+                others_rate - self.others_rate
+            )
+            self.own_rate += RATE_SMOOTHING_FACTOR * (own_rate - self.own_rate)
+            self.span_others_taken = 0.0
+            self.span_start_taken = self.taken
+            self.span_started_at = now
 
     def take(
         self,
@@ -163,64 +176,66 @@
     ) -> float:
         """Takes ``cost`` tokens.
 
-        A large request passes when the bucket is about half full, and what
-        it takes beyond that is paid back afterwards.
+        A large request is admitted when the bucket is about half full; the
+        level may become negative and recovers by later refills.
 
         Args:
-            cost: Tokens.
-            now: Seconds.
-            entries: Entries that draw from the bucket.
-            silent: Those of them that cannot be heard.
-            late: Whether the answer would be late already, so that requests
-                which can still be on time go first.
+            cost: Tokens of the request.
+            now: Current time in seconds.
+            entries: Number of entries that share the bucket.
+            silent: Number of those that are unreachable.
+            late: Whether the response would already miss its objective, so
+                that requests which can still meet theirs take precedence.
 
         Returns:
-            Zero if they were there, else seconds until they will be.
+            Zero if the tokens were taken, else seconds until a retry.
         """
-        lag = now - self.heard_at
-        alone = lag > LAG_LIMIT_S and entries > 1
-        self._fill(now)
+        report_age_s = now - self.heard_at
+        isolated = report_age_s > MAX_REPORT_AGE_S and entries > 1
+        self._refill(now)
         self.entries = max(1, entries)
-        self.part = _part(entries, silent, alone=alone)
+        self.part = _usable_fraction(entries, silent, isolated=isolated)
         self.level = min(self.level, self.burst * self.part)
-        held_back = 0.0 if alone else self._unheard(lag)
-        there = self.level - held_back
-        needed = _needed(cost, self.burst * self.part, late=late)
-        if there >= needed:
+        held_back = 0.0 if isolated else self._estimate_unreported(report_age_s)
+        available = self.level - held_back
+        required = _required_level(cost, self.burst * self.part, late=late)
+        if available >= required:
             self.level -= cost
             self.taken += cost
-            self.fresh += cost
+            self.taken_since_report += cost
             return 0.0
-        # Those who were told to come back before have the first claim.
-        ahead = needed - there + self.told * entries
-        self.told += cost
-        return ahead / (self.rate * self.part)
-
-    def _fill(self, now: float) -> None:
-        """Adds what the rate gave, for the part that this entry draws on."""
-        passed = max(0.0, now - self.filled_at)
-        most = self.burst * self.part
-        gained = passed * self.rate * self.part
-        self.level = min(max(most, self.level), self.level + gained)
-        self.told = max(0.0, self.told - gained / self.entries)
-        self.filled_at = now
-
-
-def _needed(cost: float, burst: float, *, late: bool) -> float:
-    """Returns the level at which a request may pass.
-
-    Large requests leave a reserve, so that small ones, which take little and
-    are worth as much each, are not refused behind them. Among the large ones
-    size makes no difference, so that the largest are not refused for good.
+        # Callers that were told when to retry take precedence.
+        shortfall = required - available + self.promised * entries
+        self.promised += cost
+        return shortfall / (self.rate * self.part)
+
+    def _refill(self, now: float) -> None:
+        """Adds the tokens since the last refill, for this entry's fraction."""
+        elapsed_s = max(0.0, now - self.refilled_at)
+        max_level = self.burst * self.part
+        gained = elapsed_s * self.rate * self.part
+        self.level = min(max(max_level, self.level), self.level + gained)
+        self.promised = max(0.0, self.promised - gained / self.entries)
+        self.refilled_at = now
+
+
+def _required_level(cost: float, burst: float, *, late: bool) -> float:
+    """Returns the level from which a request is admitted.
+
+    Large requests leave a reserve for small ones, which use few tokens and
+    are worth as much each. The level is the same for all large requests, so
+    that the largest are not refused forever.
     """
-    size = min(1.0, cost / (LARGE_PART * burst))
-    reserve = size * RESERVE_PART + late * LATE_PART
-    return min(cost, LARGE_PART * burst) + reserve * burst
+    size_factor = min(1.0, cost / (LARGE_REQUEST_FRACTION * burst))
+    reserve = (
+        size_factor * SMALL_RESERVE_FRACTION + late * LATE_RESERVE_FRACTION
+    )
+    return min(cost, LARGE_REQUEST_FRACTION * burst) + reserve * burst
 
 
-def _part(entries: int, silent: int, *, alone: bool) -> float:
-    """Returns the part of the bucket that an entry may draw on."""
-    if alone:
+def _usable_fraction(entries: int, silent: int, *, isolated: bool) -> float:
+    """Returns the fraction of the bucket that an entry may use."""
+    if isolated:
         return 1 / entries
-    heard = max(1, entries - silent)
-    return heard / max(1, entries)
+    reachable = max(1, entries - silent)
+    return reachable / max(1, entries)
--- a/src/_arbutuswalk/limits/retries.py
+++ b/src/_arbutuswalk/limits/retries.py
@@ -1,15 +1,16 @@
-"""Retries of one upstream within a sliding window, as this entry's part.
+"""Per-entry limit on retries of one upstream within a sliding window.
 
-Retries, summed over all entries, must stay below a part of the requests of the
-window plus a constant. Each entry keeps to that part of its own requests and
-to its share of the constant, so the sum holds without any exchange.
+The retries of all entries must stay below a fraction of the requests of the
+window plus a constant. Each entry limits itself to that fraction of its own
+requests plus an equal share of the constant, so the total limit holds without
+coordination.
 """
 
 import collections
 
-MARGIN = 0.8
-"""Part of the bound that is used; the rest covers windows that begin between
-an entry's own and entries that joined and are not counted yet."""
+USED_BOUND_FRACTION = 0.8
+"""Fraction of the bound that is used. The rest covers windows that do not start
+with an entry's own window, and new entries that are not counted yet."""
 
 
 class RetryWindow:
@@ -28,23 +29,23 @@
         self.retries: collections.deque[float] = collections.deque()
 
     def note_request(self, now: float) -> None:
-        """Notes a request of a caller."""
+        """Records a request of a caller."""
         self.requests.append(now)
-        _forget(self.requests, now - self.window_s)
+        _drop_before(self.requests, now - self.window_s)
 
     def may_retry(self, now: float, entries: int) -> bool:
-        """Takes a retry out of the window; returns whether there was room."""
-        oldest = now - self.window_s
-        _forget(self.requests, oldest)
-        _forget(self.retries, oldest)
+        """Records a retry if the limit permits it; returns whether it does."""
+        cutoff = now - self.window_s
+        _drop_before(self.requests, cutoff)
+        _drop_before(self.retries, cutoff)
         share = self.extra / max(1, entries)
-        room = MARGIN * (self.ratio * len(self.requests) + share)
-        if len(self.retries) + 1 > room:
+        limit = USED_BOUND_FRACTION * (self.ratio * len(self.requests) + share)
+        if len(self.retries) + 1 > limit:
             return False
         self.retries.append(now)
         return True
 
 
-def _forget(times: collections.deque[float], oldest: float) -> None:
-    while times and times[0] < oldest:
+def _drop_before(times: collections.deque[float], cutoff: float) -> None:
+    while times and times[0] < cutoff:
         times.popleft()
--- a/testing/test_limits.py
+++ b/testing/test_limits.py
@@ -1,4 +1,4 @@
-"""Fair queues and retry budgets, by example and by property."""
+"""Fair queues and retry budgets."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -34,7 +34,10 @@
         for _ in range(5):
             queue.push(ticket("small"))
         first = serve(queue, 20)
-        assert sum(t.workspace == "small" for t in first) == 5
+        assert (
+            sum(served_ticket.workspace == "small" for served_ticket in first)
+            == 5
+        )
 
     def test_shares_follow_weights(self):
         queue = fair.FairQueue()
@@ -42,22 +45,26 @@
             queue.push(ticket("a", weight=3))
             queue.push(ticket("b", weight=1))
         first = serve(queue, 200)
-        a = sum(t.workspace == "a" for t in first)
+        a = sum(served_ticket.workspace == "a" for served_ticket in first)
         assert 140 <= a <= 160
 
     def test_earliest_deadline_first_within_a_workspace(self):
         queue = fair.FairQueue()
         for deadline in (5.0, 1.0, 3.0):
             queue.push(ticket("a", deadline=deadline))
-        assert [t.deadline for t in serve(queue, 3)] == [1.0, 3.0, 5.0]
+        assert [
+            served_ticket.deadline for served_ticket in serve(queue, 3)
+        ] == [1.0, 3.0, 5.0]
 
-    def test_cancelled_tickets_are_passed_over(self):
+    def test_cancelled_tickets_are_skipped(self):
         queue = fair.FairQueue()
-        gone = ticket("a")
-        queue.push(gone)
+        cancelled_ticket = ticket("a")
+        queue.push(cancelled_ticket)
         queue.push(ticket("a", deadline=2.0))
-        gone.cancelled = True
-        assert [t.deadline for t in serve(queue, 2)] == [2.0]
+        cancelled_ticket.cancelled = True
+        assert [
+            served_ticket.deadline for served_ticket in serve(queue, 2)
+        ] == [2.0]
         assert queue.waiting_cost == 0
 
     @hypothesis.given(
@@ -108,12 +115,12 @@
             retries += made.withdraw(i / rate)
         assert retries <= 0.1 * attempts + budget.CAPACITY + 1
 
-    def test_outage_ends_retries(self):
-        made = budget.Budget(now=0.0)
-        taken = sum(made.withdraw(0.0) for _ in range(100))
+    def test_retries_stop_when_the_budget_is_empty(self):
+        retry_budget = budget.Budget(now=0.0)
+        taken = sum(retry_budget.withdraw(0.0) for _ in range(100))
         assert taken == budget.CAPACITY
 
-    def test_time_alone_brings_a_retry_back(self):
-        made = budget.Budget(now=0.0, tokens=0.0)
-        assert not made.withdraw(1.0)
-        assert made.withdraw(2.0)
+    def test_time_alone_refills_the_budget(self):
+        retry_budget = budget.Budget(now=0.0, tokens=0.0)
+        assert not retry_budget.withdraw(1.0)
+        assert retry_budget.withdraw(2.0)
--- a/testing/test_quota.py
+++ b/testing/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas that entries share by hearsay."""
+"""Quotas that entries share by delayed reports."""
 
 import random
 
@@ -18,55 +18,62 @@
     return bucket.take(cost, now, entries=entries, silent=silent) == 0.0
 
 
-class World:
-    """Entries that draw from one quota and hear of each other with a lag."""
+class QuotaSimulation:
+    """Simulates entries that share one quota and exchange delayed reports."""
 
-    def __init__(self, entries, lag_s, rate=RATE, burst=BURST):
+    def __init__(self, entries, report_interval_s, rate=RATE, burst=BURST):
         self.buckets = [
             quota.Bucket(rate=rate, burst=burst, now=0.0)
             for _ in range(entries)
         ]
-        self.lag_s = lag_s
+        self.report_interval_s = report_interval_s
         self.taken = []
-        self.told_at = [0.0] * entries
-        self.cut = None
+        self.last_report_at = [0.0] * entries
+        self.disconnected = None
         self.silent = 0
-        self.said = [0.0] * entries
+        self.last_reported = [0.0] * entries
 
     def step(self, now, cost, entry):
-        self.tell(now)
+        self.exchange_reports(now)
         bucket = self.buckets[entry]
-        silent = 0 if entry == self.cut else self.silent
+        silent = 0 if entry == self.disconnected else self.silent
         if admit(bucket, cost, now, entries=len(self.buckets), silent=silent):
             self.taken.append((now, cost))
 
-    def tell(self, now):
+    def exchange_reports(self, now):
         for index, bucket in enumerate(self.buckets):
-            if index == self.cut or now - self.told_at[index] < self.lag_s:
+            if (
+                index == self.disconnected
+                or now - self.last_report_at[index] < self.report_interval_s
+            ):
                 continue
-            self.told_at[index] = now
+            self.last_report_at[index] = now
             others = sum(
-                self.reported(number)
+                self.reported_taken(number)
                 for number, other in enumerate(self.buckets)
                 if other is not bucket
             )
             bucket.hear(others, now)
 
-    def reported(self, number):
-        """What an entry last said that it took; a cut one said it before."""
-        if number != self.cut:
-            self.said[number] = self.buckets[number].taken
-        return self.said[number]
+    def reported_taken(self, number):
+        """Returns an entry's last report, an old one if it is disconnected."""
+        if number != self.disconnected:
+            self.last_reported[number] = self.buckets[number].taken
+        return self.last_reported[number]
 
-    def most_in_window(self, window_s):
+    def max_taken_in_window(self, window_s):
         return max(
-            sum(c for at, c in self.taken if start <= at < start + window_s)
+            sum(
+                cost
+                for taken_at, cost in self.taken
+                if start <= taken_at < start + window_s
+            )
             for start, _ in self.taken
         )
 
 
 class TestBucket:
-    def test_refuses_with_the_wait_until_the_tokens_are_there(self):
+    def test_refusal_returns_the_wait_until_the_tokens_are_available(self):
         bucket = make_bucket()
         while admit(bucket, 100, 0.0):
             pass
@@ -79,16 +86,16 @@
             pass
         assert admit(bucket, 20, 0.0)
 
-    def test_the_largest_requests_pass_as_soon_as_large_ones_do(self):
+    def test_the_largest_requests_wait_no_longer_than_large_ones(self):
         bucket = make_bucket()
         assert admit(bucket, 3 * BURST, 0.0)
         assert not admit(bucket, 400, 1.0)
         large_wait = bucket.take(400, 1.0, entries=1, silent=0)
-        bucket.told = 0.0
+        bucket.promised = 0.0
         huge_wait = bucket.take(10 * BURST, 1.0, entries=1, silent=0)
         assert huge_wait == pytest.approx(large_wait, rel=0.3)
 
-    def test_later_refusals_wait_behind_those_told_before(self):
+    def test_later_refusals_wait_behind_earlier_ones(self):
         bucket = make_bucket()
         admit(bucket, 2 * BURST, 0.0)
         first = bucket.take(400, 0.0, entries=1, silent=0)
@@ -102,7 +109,7 @@
         bucket.resize(RATE / 10, BURST / 10, 0.0)
         assert bucket.level <= min(before, BURST / 10)
 
-    def test_news_milliseconds_apart_say_nothing_of_the_rate(self):
+    def test_reports_milliseconds_apart_do_not_change_the_rate_estimate(self):
         bucket = make_bucket()
         bucket.hear(0.0, 0.0)
         bucket.hear(500.0, 0.100)
@@ -110,7 +117,7 @@
         bucket.hear(1000.0, 1.0)
         assert bucket.others_rate <= 1000.0
 
-    def test_totals_of_a_restarted_control_process_take_nothing_twice(self):
+    def test_totals_of_a_restarted_control_process_are_not_counted_twice(self):
         bucket = make_bucket()
         bucket.hear(1000.0, 0.0)
         bucket.hear(0.0, 0.1)
@@ -126,41 +133,43 @@
         rng = random.Random(seed)
         terms = quota.Terms(window_s=8.0, overshoot=0.1, tolerance=110_000)
         loosened = quota.loosen(rate, rate, terms)
-        world = World(8, 0.4, *loosened)
+        simulation = QuotaSimulation(8, 0.4, *loosened)
         now, mean = 0.0, 9000
         while now < 30.0:
             now += rng.expovariate(4 * rate / mean)
             cost = min(39_600, rng.lognormvariate(8.9, 0.7))
-            world.step(now, cost, rng.randrange(8))
+            simulation.step(now, cost, rng.randrange(8))
         permitted = (rate * 8 + rate) * 1.1 + 110_000
-        assert world.most_in_window(8.0) <= permitted
-        assert world.most_in_window(8.0) >= rate * 8
+        assert simulation.max_taken_in_window(8.0) <= permitted
+        assert simulation.max_taken_in_window(8.0) >= rate * 8
 
     @pytest.mark.parametrize("rate", [29_000.0, 270_000.0])
     @pytest.mark.parametrize("seed", range(20))
-    def test_a_cut_entry_and_the_others_keep_to_it_together(self, rate, seed):
-        """One entry is cut off for six seconds under four times the quota."""
+    def test_no_window_exceeds_what_is_permitted_with_a_disconnected_entry(
+        self, rate, seed
+    ):
+        """One entry is disconnected for six seconds at four times the quota."""
         rng = random.Random(seed)
         terms = quota.Terms(window_s=8.0, overshoot=0.1, tolerance=110_000)
         loosened = quota.loosen(rate, rate, terms)
-        world = World(8, 0.4, *loosened)
+        simulation = QuotaSimulation(8, 0.4, *loosened)
         now = 0.0
         while now < 30.0:
             now += rng.expovariate(4 * rate / 9000)
-            world.cut = 0 if 8.0 < now < 14.0 else None
-            world.silent = 1 if 9.5 < now < 14.5 else 0
+            simulation.disconnected = 0 if 8.0 < now < 14.0 else None
+            simulation.silent = 1 if 9.5 < now < 14.5 else 0
             cost = min(39_600, rng.lognormvariate(8.9, 0.7))
-            world.step(now, cost, rng.randrange(8))
+            simulation.step(now, cost, rng.randrange(8))
         permitted = (rate * 8 + rate) * 1.1 + 110_000
-        assert world.most_in_window(8.0) <= permitted
+        assert simulation.max_taken_in_window(8.0) <= permitted
 
-    def test_an_entry_may_use_what_the_others_do_not_ask_for(self):
-        world = World(8, lag_s=0.3)
+    def test_an_entry_may_use_the_unused_quota_of_the_others(self):
+        simulation = QuotaSimulation(8, report_interval_s=0.3)
         for tick in range(2000):
-            world.step(tick * 0.01, 9, 0)
-        assert len(world.taken) == 2000
+            simulation.step(tick * 0.01, 9, 0)
+        assert len(simulation.taken) == 2000
 
-    def test_an_entry_that_hears_nothing_keeps_to_its_share(self):
+    def test_an_entry_without_reports_keeps_to_its_equal_share(self):
         bucket = make_bucket()
         taken = 0
         for tick in range(1, 3000):
@@ -168,7 +177,7 @@
             taken += 50 * admit(bucket, 50, now, entries=4)
         assert taken <= (RATE * 30 + BURST) / 4 + 50
 
-    def test_the_others_leave_a_silent_entrys_share_to_it(self):
+    def test_reachable_entries_leave_the_share_of_an_unreachable_one(self):
         bucket = make_bucket()
         taken = 0
         for tick in range(3000):
@@ -179,13 +188,13 @@
 
 
 class TestTerms:
-    def test_only_a_part_of_the_permitted_overshoot_is_given_out(self):
+    def test_only_a_part_of_the_permitted_overshoot_is_used(self):
         terms = quota.Terms(window_s=8.0, overshoot=0.1, tolerance=1600.0)
         rate, burst = quota.loosen(RATE, BURST, terms)
         permitted = (RATE * 8 + BURST) * 1.1 + 1600
         given = rate * 8 + burst
         base = RATE * 8 + BURST
         assert given - base == pytest.approx(
-            (permitted - base) * quota.SLACK_PART
+            (permitted - base) * quota.USED_OVERSHOOT_FRACTION
         )
         assert given < permitted
--- a/testing/test_retry_window.py
+++ b/testing/test_retry_window.py
@@ -1,4 +1,4 @@
-"""Retries of an upstream within a sliding window."""
+"""Retry limit of an upstream within a sliding window."""
 
 from _arbutuswalk.limits import retries
 
@@ -8,7 +8,7 @@
 
 
 class TestRetryWindow:
-    def test_all_entries_together_keep_to_the_constant(self):
+    def test_all_entries_together_stay_within_the_constant(self):
         windows = [make_window() for _ in range(8)]
         granted = sum(
             window.may_retry(0.0, entries=8)
@@ -31,7 +31,7 @@
         granted = sum(window.may_retry(11.0, entries=8) for _ in range(100))
         assert granted <= 2
 
-    def test_room_comes_back_when_retries_leave_the_window(self):
+    def test_retries_outside_the_window_no_longer_count(self):
         window = make_window()
         assert window.may_retry(0.0, entries=8)
         while window.may_retry(0.0, entries=8):
