--- a/src/_arbutuswalk/state/__init__.py
+++ b/src/_arbutuswalk/state/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated tables and the decisions that run over them."""
+"""Replicated tables, the state machine over them, and decision policies."""
--- a/src/_arbutuswalk/state/charges.py
+++ b/src/_arbutuswalk/state/charges.py
@@ -1,4 +1,4 @@
-"""Charges in integer micro-units that sum exactly to the bill."""
+"""Allocation of bills to accounts in integer micro-units, exact in sum."""
 
 from typing import NamedTuple
 
@@ -10,13 +10,13 @@
 
 
 class Use(NamedTuple):
-    """How one instance's interval was spent.
+    """Usage of one instance during one billing interval.
 
     Attributes:
-        bill_micro: What the platform bills for it.
-        idle_account: Account that pays for idle time.
-        busy: Busy time by workspace, in any one unit.
-        capacity: The whole interval's time in that unit.
+        bill_micro: Amount that the platform billed, in micro-units.
+        idle_account: Account that is charged for idle time.
+        busy: Busy time by workspace, in the same unit as ``capacity``.
+        capacity: Total time of the interval.
     """
 
     bill_micro: int
@@ -26,7 +26,7 @@
 
 
 def settle(tables: rows.Tables, command: commands.Charge) -> outcomes.Outcome:
-    """Adds one interval's amounts, once, if they sum to the bill."""
+    """Adds the amounts of an interval once, if they sum to its bill."""
     if command.interval <= tables.intervals:
         return outcomes.Stale(what=f"interval {command.interval}")
     if sum(command.amounts.values()) != command.bill_micro:
@@ -38,22 +38,22 @@
     return outcomes.Accepted()
 
 
-def divide(uses: list[Use]) -> dict[str, int]:
-    """Divides bills between accounts so that the sum is exact.
+def divide(usages: list[Use]) -> dict[str, int]:
+    """Divides bills between accounts so that the amounts sum exactly.
 
-    Busy time goes to the workspace served, in proportion of capacity; the
-    rest to the account that asked for the instance. Fractions are cut, and
-    the remainder stays with the idle account.
+    Busy time is charged to the workspace served, in proportion to capacity;
+    the rest is charged to the account that owns the instance. Amounts are
+    rounded down, and the remainder is charged to the idle account.
     """
     amounts: dict[str, int] = {}
-    for use in uses:
-        spent = 0
-        capacity = max(use.capacity, sum(use.busy.values()), 1)
-        for workspace, busy in sorted(use.busy.items()):
-            amount = use.bill_micro * busy // capacity
+    for usage in usages:
+        allocated = 0
+        capacity = max(usage.capacity, sum(usage.busy.values()), 1)
+        for workspace, busy in sorted(usage.busy.items()):
+            amount = usage.bill_micro * busy // capacity
             account = f"workspace/{workspace}"
             amounts[account] = amounts.get(account, 0) + amount
-            spent += amount
-        idle = f"idle/{use.idle_account or UNOWNED}"
-        amounts[idle] = amounts.get(idle, 0) + use.bill_micro - spent
+            allocated += amount
+        idle = f"idle/{usage.idle_account or UNOWNED}"
+        amounts[idle] = amounts.get(idle, 0) + usage.bill_micro - allocated
     return amounts
--- a/src/_arbutuswalk/state/commands.py
+++ b/src/_arbutuswalk/state/commands.py
@@ -1,4 +1,4 @@
-"""Commands that the replicated log carries, and their JSON form."""
+"""Commands of the replicated log and their JSON encoding."""
 
 import json
 from typing import Any
@@ -6,12 +6,12 @@
 
 
 class Apply(NamedTuple):
-    """Makes an inventory the configuration if ``expected`` still holds.
+    """Replaces the configuration if its revision is still ``expected``.
 
     Attributes:
-        operation: Operator's id of this operation, equal on a resend.
-        operator: Who asks.
-        expected: Revision the operator saw.
+        operation: Operator's id of this operation; a resend repeats it.
+        operator: Name of the operator.
+        expected: Revision that the operator based the change on.
         inventory: Validated inventory.
     """
 
@@ -22,7 +22,7 @@
 
 
 class RegisterEntry(NamedTuple):
-    """Adds an entry, or replaces its older incarnation."""
+    """Registers an entry, replacing any older incarnation."""
 
     entry: str
     incarnation: int
@@ -34,7 +34,7 @@
 
 
 class SetEntryState(NamedTuple):
-    """Moves an entry to ``serving``, ``draining`` or ``gone``."""
+    """Sets an entry's state: ``serving``, ``draining`` or ``gone``."""
 
     entry: str
     incarnation: int
@@ -42,7 +42,7 @@
 
 
 class BeginCall(NamedTuple):
-    """Records the intent of a non-repeatable call."""
+    """Records the intent to send a non-repeatable call."""
 
     workspace: str
     key: str
@@ -55,7 +55,7 @@
 
 
 class WithdrawCall(NamedTuple):
-    """Takes an intent back; no byte of the call has left."""
+    """Withdraws an intent; no byte of the call has been sent."""
 
     workspace: str
     key: str
@@ -63,7 +63,7 @@
 
 
 class FinishCall(NamedTuple):
-    """Records the answer of a call."""
+    """Records the response to a call."""
 
     workspace: str
     key: str
@@ -74,7 +74,7 @@
 
 
 class LoseCall(NamedTuple):
-    """Records that nobody knows whether a call ran."""
+    """Records that the outcome of a call is unknown."""
 
     workspace: str
     key: str
@@ -91,7 +91,7 @@
 
 
 class Release(NamedTuple):
-    """Ends an isolation; ``cleared`` when the suspect completed."""
+    """Ends an isolation; ``cleared`` if the suspect request completed."""
 
     fingerprint: str
     upstream: str
@@ -99,7 +99,7 @@
 
 
 class ReportDeath(NamedTuple):
-    """An upstream died unannounced while running these requests."""
+    """Reports an unannounced death and the requests running at that time."""
 
     upstream: str
     incarnation: int
@@ -111,10 +111,11 @@
 
     Attributes:
         move: Id of the move.
-        seen_step: Step the decision was made on; a stale one is ignored.
+        seen_step: Step that the decision is based on; if the move has
+            changed since, the command is ignored.
         state: New state.
-        shares: Per mille of new-version traffic by route.
-        reason: Why, for the operator.
+        shares: Traffic share of the new version by route, in per mille.
+        reason: Reason shown to operators.
     """
 
     move: str
@@ -139,7 +140,7 @@
 
 
 class SettleOrder(NamedTuple):
-    """Records what became of an order."""
+    """Records the outcome of an order."""
 
     order: str
     outcome: str
@@ -150,8 +151,8 @@
     """Records that the platform reclaims an instance.
 
     Attributes:
-        instance: The instance, whoever ordered it.
-        leave_in_s: Seconds of notice.
+        instance: The instance, including one that was not ordered here.
+        leave_in_s: Notice period in seconds.
     """
 
     instance: str
@@ -159,12 +160,12 @@
 
 
 class Charge(NamedTuple):
-    """Settles one interval.
+    """Settles one billing interval.
 
     Attributes:
         interval: Number of the interval; each is settled once.
-        bill_micro: What the platform billed for it.
-        amounts: Micro-units by account, which sum to ``bill_micro``.
+        bill_micro: Amount that the platform billed, in micro-units.
+        amounts: Micro-units by account, which must sum to ``bill_micro``.
     """
 
     interval: int
@@ -173,12 +174,12 @@
 
 
 class PublishRoutes(NamedTuple):
-    """Offers a configuration of routes; the highest version wins.
+    """Publishes a route configuration; the highest version wins.
 
     Attributes:
-        version: Its version.
-        config: Checked configuration as JSON values.
-        source: What the operator sent, deflated and in base 64.
+        version: Version of the configuration.
+        config: Validated configuration as JSON values.
+        source: The operator's original input, deflated and in base 64.
     """
 
     version: int
@@ -187,7 +188,7 @@
 
 
 class BeginRollout(NamedTuple):
-    """Asks that an upstream's traffic move to another version."""
+    """Starts the rollout of another version of an upstream."""
 
     upstream: str
     target: str
@@ -198,12 +199,13 @@
     """Changes a rollout's state and share.
 
     Attributes:
-        upstream: Upstream that is rolled out.
-        target: Version it moves to.
-        seen_step: Step the decision was made on; a stale one is ignored.
+        upstream: Upstream of the rollout.
+        target: Version that is rolled out.
+        seen_step: Step that the decision is based on; if the rollout has
+            changed since, the command is ignored.
         state: New state.
-        share: Per mille of the traffic that the new version gets.
-        reason: Why, for the operator.
+        share: Traffic share of the new version in per mille.
+        reason: Reason shown to operators.
     """
 
     upstream: str
@@ -215,14 +217,14 @@
 
 
 class SettleUsage(NamedTuple):
-    """Fixes the counts of a closed usage window, by workspace."""
+    """Settles the counts of a closed usage window, by workspace."""
 
     window: int
     counts: dict[str, int]
 
 
 class Tick(NamedTuple):
-    """Lets log time pass, so that records expire."""
+    """Advances log time so that records expire."""
 
 
 Command = (
@@ -248,9 +250,9 @@
     | Tick
 )
 
-_TYPES = {
-    kind.__name__: kind
-    for kind in (
+_COMMAND_TYPES = {
+    command_type.__name__: command_type
+    for command_type in (
         Apply,
         RegisterEntry,
         SetEntryState,
@@ -276,14 +278,14 @@
 
 
 def encode(command: Command) -> bytes:
-    """Returns the JSON form: a type name and its fields."""
+    """Returns the JSON encoding: the type name followed by the fields."""
     return json.dumps([type(command).__name__, *command]).encode()
 
 
 def decode(data: bytes) -> Command | None:
-    """Parses ``encode``'s result; None for anything else."""
+    """Parses the result of ``encode``; returns None for invalid data."""
     try:
         name, *fields = json.loads(data)
-        return _TYPES[name](*fields)
+        return _COMMAND_TYPES[name](*fields)
     except (ValueError, TypeError, KeyError):
         return None
--- a/src/_arbutuswalk/state/configuration.py
+++ b/src/_arbutuswalk/state/configuration.py
@@ -1,4 +1,4 @@
-"""Accepting configurations: compare-and-set, resends, and their moves."""
+"""Acceptance of configurations by compare-and-set, with idempotent resends."""
 
 import json
 
@@ -9,25 +9,25 @@
 from _arbutuswalk.state import tables as rows
 
 OPERATION_KEPT_MS = 24 * 3600 * 1000
-MAX_HISTORY = 200
+MAX_HISTORY_REVISIONS = 200
 
 
 def apply(tables: rows.Tables, command: commands.Apply) -> outcomes.Outcome:
-    """Makes ``command.inventory`` the configuration, or tells who was first.
+    """Replaces the configuration, or reports a conflicting operation.
 
-    A resend of an operation gets the first answer, whatever has happened
-    since; another body under its id is refused.
+    A resend of an operation returns its first outcome, even after later
+    changes; the same id with another body is refused.
     """
-    digest = _digest(command)
-    known = tables.operations.get(command.operation)
-    if known is not None:
-        if known.digest != digest:
+    digest = _request_digest(command)
+    previous = tables.operations.get(command.operation)
+    if previous is not None:
+        if previous.digest != digest:
             return outcomes.Reused(what=f"operation {command.operation}")
-        return outcomes.decode(known.outcome)
+        return outcomes.decode(previous.outcome)
     if command.expected != tables.revision:
-        outcome = _conflict(tables)
+        outcome = _make_conflict(tables)
     else:
-        _accept(tables, command)
+        _accept_revision(tables, command)
         outcome = outcomes.Accepted(revision=tables.revision)
     tables.operations[command.operation] = rows.Operation(
         digest, outcomes.to_json(outcome), tables.time_ms
@@ -36,15 +36,15 @@
 
 
 def expire(tables: rows.Tables) -> None:
-    """Forgets operations that no operator resends any more."""
-    oldest = tables.time_ms - OPERATION_KEPT_MS
+    """Removes operations too old to be resent."""
+    cutoff_ms = tables.time_ms - OPERATION_KEPT_MS
     for operation, row in list(tables.operations.items()):
-        if row.at_ms >= oldest:
+        if row.at_ms >= cutoff_ms:
             return
         del tables.operations[operation]
 
 
-def _accept(tables: rows.Tables, command: commands.Apply) -> None:
+def _accept_revision(tables: rows.Tables, command: commands.Apply) -> None:
     tables.revision += 1
     tables.inventory = command.inventory
     tables.history.append(
@@ -55,11 +55,11 @@
             tables.time_ms,
         )
     )
-    del tables.history[:-MAX_HISTORY]
-    moves.on_configuration(tables)
+    del tables.history[:-MAX_HISTORY_REVISIONS]
+    moves.reconcile(tables)
 
 
-def _conflict(tables: rows.Tables) -> outcomes.Conflict:
+def _make_conflict(tables: rows.Tables) -> outcomes.Conflict:
     last = tables.history[-1] if tables.history else None
     return outcomes.Conflict(
         revision=tables.revision,
@@ -68,6 +68,6 @@
     )
 
 
-def _digest(command: commands.Apply) -> str:
+def _request_digest(command: commands.Apply) -> str:
     body = json.dumps([command.expected, command.inventory], sort_keys=True)
     return inventories.digest(body)
--- a/src/_arbutuswalk/state/entries.py
+++ b/src/_arbutuswalk/state/entries.py
@@ -1,4 +1,4 @@
-"""Entry processes as replicated rows."""
+"""Registration and state of entry processes in the replicated tables."""
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import ledger
@@ -15,7 +15,7 @@
 def register(
     tables: rows.Tables, command: commands.RegisterEntry
 ) -> outcomes.Outcome:
-    """Adds an entry or its next incarnation."""
+    """Registers an entry or its next incarnation."""
     row = tables.entries.get(command.entry)
     if row is not None and row.incarnation > command.incarnation:
         return outcomes.Stale(what=f"entry {command.entry}")
@@ -24,7 +24,7 @@
             return outcomes.Stale(what=f"entry {command.entry}")
         return outcomes.Accepted()
     if row is not None:
-        _end(tables, command.entry, row.incarnation)
+        _end_incarnation(tables, command.entry, row.incarnation)
     tables.entries[command.entry] = rows.EntryRow(
         incarnation=command.incarnation,
         address=command.address,
@@ -41,7 +41,7 @@
 def set_state(
     tables: rows.Tables, command: commands.SetEntryState
 ) -> outcomes.Outcome:
-    """Drains or removes one incarnation of an entry."""
+    """Sets the state of one incarnation of an entry."""
     row = tables.entries.get(command.entry)
     if row is None or row.incarnation != command.incarnation:
         return outcomes.Absent()
@@ -51,18 +51,18 @@
         state=command.state, at_ms=tables.time_ms
     )
     if command.state == GONE:
-        _end(tables, command.entry, command.incarnation)
+        _end_incarnation(tables, command.entry, command.incarnation)
     return outcomes.Accepted()
 
 
 def expire(tables: rows.Tables) -> None:
-    """Forgets entries that have been gone for long."""
-    oldest = tables.time_ms - GONE_KEPT_MS
+    """Removes entries that have been gone for ``GONE_KEPT_MS``."""
+    cutoff_ms = tables.time_ms - GONE_KEPT_MS
     for entry, row in list(tables.entries.items()):
-        if row.state == GONE and row.at_ms < oldest:
+        if row.state == GONE and row.at_ms < cutoff_ms:
             del tables.entries[entry]
 
 
-def _end(tables: rows.Tables, entry: str, incarnation: int) -> None:
-    ledger.lose_calls_of(tables, entry, incarnation)
-    quarantine.release_all_of(tables, entry)
+def _end_incarnation(tables: rows.Tables, entry: str, incarnation: int) -> None:
+    ledger.mark_calls_unknown(tables, entry, incarnation)
+    quarantine.release_entry_isolations(tables, entry)
--- a/src/_arbutuswalk/state/evidence.py
+++ b/src/_arbutuswalk/state/evidence.py
@@ -1,6 +1,7 @@
-"""Outcomes of a new version beside those of the old, as entries report them.
+"""Statistical evidence for or against a new version.
 
-Moves and rollouts feed the same two tests; each decides by them on its own.
+Entries report outcomes of the new and the old version. Moves and rollouts use
+the same two tests, of failures and of slowness, and decide separately.
 """
 
 from collections.abc import Iterable
@@ -10,71 +11,86 @@
 
 
 class Sums(NamedTuple):
-    """Outcomes of one version over all entries, since their starts."""
+    """Counts of outcomes of one version, summed since each entry's start.
+
+    Attributes:
+        ran: Finished requests.
+        failed: Failures among them.
+        measured: Requests whose latency was measured.
+        slow: Slow ones among those.
+    """
 
     ran: int = 0
     failed: int = 0
-    timed: int = 0
+    measured: int = 0
     slow: int = 0
 
 
 class Evidence:
-    """Both tests of a new version, and what they have counted already.
+    """The tests of a new version, and the counts already passed to them.
 
     Attributes:
         errors: Test of failures.
         slowness: Test of slowness.
-        new: Sums of the new version already counted.
-        old: Sums of the old version already counted.
+        counted_new: Counts of the new version already in the tests.
+        counted_old: Counts of the old version already in the tests.
     """
 
     def __init__(self, *, new: Sums, old: Sums):
         self.errors = compare.Comparison()
         self.slowness = compare.Comparison()
-        self.new = new
-        self.old = old
+        self.counted_new = new
+        self.counted_old = old
 
 
-def add(sums: Sums, counts: Iterable[int]) -> Sums:
-    """Returns sums with one entry's counts added."""
-    return Sums(*map(sum, zip(sums, counts, strict=True)))
+def add(totals: Sums, counts: Iterable[int]) -> Sums:
+    """Returns the totals with one entry's counts added."""
+    return Sums(*map(sum, zip(totals, counts, strict=True)))
 
 
-def feed(evidence: Evidence, new: Sums, old: Sums) -> Sums:
-    """Turns growth of the sums into blocks of the two tests.
+def update_tests(evidence: Evidence, new: Sums, old: Sums) -> Sums:
+    """Passes the increase since the last update to both tests.
 
     Returns:
-        What came in of the new version.
+        The increase of the new version's counts.
     """
-    fresh_new = _growth(evidence.new, new)
-    fresh_old = _growth(evidence.old, old)
-    evidence.new, evidence.old = new, old
-    if fresh_new.ran or fresh_old.ran:
+    new_increase = _increase(evidence.counted_new, new)
+    old_increase = _increase(evidence.counted_old, old)
+    evidence.counted_new, evidence.counted_old = new, old
+    if new_increase.ran or old_increase.ran:
         evidence.errors.update(
             compare.Block(
-                fresh_old.ran, fresh_old.failed, fresh_new.ran, fresh_new.failed
+                old_increase.ran,
+                old_increase.failed,
+                new_increase.ran,
+                new_increase.failed,
             )
         )
         evidence.slowness.update(
             compare.Block(
-                fresh_old.timed, fresh_old.slow, fresh_new.timed, fresh_new.slow
+                old_increase.measured,
+                old_increase.slow,
+                new_increase.measured,
+                new_increase.slow,
             )
         )
-    return fresh_new
+    return new_increase
 
 
-def fault(evidence: Evidence, threshold: float, where: str = "") -> str:
-    """Returns the test that is over a threshold and its counts, or nothing."""
+def find_regression(
+    evidence: Evidence, threshold: float, suffix: str = ""
+) -> str:
+    """Describes the first test at or above a threshold; empty if none is."""
     tests = (("errors", evidence.errors), ("slow", evidence.slowness))
     for name, test in tests:
         if test.log_evidence >= threshold:
             return (
-                f"{name}{where}: {test.new_failed} of {test.new_ran} new,"
+                f"{name}{suffix}: {test.new_failed} of {test.new_ran} new,"
                 f" {test.old_failed} of {test.old_ran} old"
             )
     return ""
 
 
-def _growth(before: Sums, after: Sums) -> Sums:
-    """Returns what came in; sums shrink when an entry is forgotten."""
+def _increase(before: Sums, after: Sums) -> Sums:
+    """Returns the increase, or 0 if totals shrink as an entry is removed."""
     return Sums(*(max(0, b - a) for a, b in zip(before, after, strict=True)))
--- a/src/_arbutuswalk/state/fleet.py
+++ b/src/_arbutuswalk/state/fleet.py
@@ -1,4 +1,4 @@
-"""Instances and orders as replicated rows; ``fleetplan`` decides them."""
+"""Instances and platform orders in the replicated tables."""
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import outcomes
@@ -9,13 +9,13 @@
 LEAVING = "leaving"
 GONE = "gone"
 PENDING = "pending"
-KEPT_MS = 600_000
+ENDED_KEPT_MS = 600_000
 
 
-def order(
+def record_order(
     tables: rows.Tables, command: commands.OrderInstance
 ) -> outcomes.Outcome:
-    """Records an order; a lower fence than the last one's is stale."""
+    """Records an order; a fence below the highest one is stale."""
     if command.fence < tables.highest_fence:
         return outcomes.Stale(what=f"fence {command.fence}")
     tables.highest_fence = command.fence
@@ -43,10 +43,10 @@
     return outcomes.Accepted()
 
 
-def settle(
+def settle_order(
     tables: rows.Tables, command: commands.SettleOrder
 ) -> outcomes.Outcome:
-    """Records what became of an order."""
+    """Records the outcome of an order."""
     row = tables.orders.get(command.order)
     if row is None or row.outcome != PENDING:
         return outcomes.Absent()
@@ -54,23 +54,23 @@
     instance = tables.instances.get(row.instance)
     if instance is None:
         return outcomes.Accepted()
-    done = command.outcome == "done"
+    succeeded = command.outcome == "done"
     if row.kind == "start":
-        state = RUNNING if done else GONE
+        state = RUNNING if succeeded else GONE
         price = command.price_micro_per_hour
-        changed = instance._replace(state=state, price_micro_per_hour=price)
-    elif done:
-        changed = instance._replace(state=GONE)
+        updated = instance._replace(state=state, price_micro_per_hour=price)
+    elif succeeded:
+        updated = instance._replace(state=GONE)
     else:
-        changed = instance
-    tables.instances[row.instance] = changed._replace(at_ms=tables.time_ms)
+        updated = instance
+    tables.instances[row.instance] = updated._replace(at_ms=tables.time_ms)
     return outcomes.Accepted()
 
 
-def mark(
+def record_reclaim_notice(
     tables: rows.Tables, command: commands.MarkInstance
 ) -> outcomes.Outcome:
-    """Records a reclaim notice, also for an instance nobody here ordered."""
+    """Records a reclaim notice, also for an instance not ordered here."""
     tables.leaving[command.instance] = [tables.time_ms, command.leave_in_s]
     row = tables.instances.get(command.instance)
     if row is not None and row.state != GONE:
@@ -81,14 +81,14 @@
 
 
 def expire(tables: rows.Tables) -> None:
-    """Forgets ended instances and settled orders."""
-    oldest = tables.time_ms - KEPT_MS
+    """Removes ended instances and settled orders after ``ENDED_KEPT_MS``."""
+    cutoff_ms = tables.time_ms - ENDED_KEPT_MS
     for name, (at_ms, _) in list(tables.leaving.items()):
-        if at_ms < oldest:
+        if at_ms < cutoff_ms:
             del tables.leaving[name]
     for name, row in list(tables.instances.items()):
-        if row.state == GONE and row.at_ms < oldest:
+        if row.state == GONE and row.at_ms < cutoff_ms:
             del tables.instances[name]
     for name, row in list(tables.orders.items()):
-        if row.outcome != PENDING and row.at_ms < oldest:
+        if row.outcome != PENDING and row.at_ms < cutoff_ms:
             del tables.orders[name]
--- a/src/_arbutuswalk/state/fleetplan.py
+++ b/src/_arbutuswalk/state/fleetplan.py
@@ -1,9 +1,9 @@
-"""How many endpoints of which kind an upstream needs in each failure domain.
+"""Scaling decisions: endpoints of each kind by failure domain of an upstream.
 
-Reclaimable endpoints cost a small part of the others but may go, a whole
-failure domain at once, on a few seconds of notice. They carry the load, spread
-over the domains; endpoints that stay fill in for those that are missing, from
-the moment at which the notice comes until reclaimable ones serve again.
+Reclaimable endpoints cost a fraction of on-demand ones, but the platform may
+reclaim a whole failure domain at once on a few seconds' notice. They carry the
+load, spread over the domains; on-demand endpoints replace missing ones from
+the reclaim notice until reclaimable ones serve again.
 """
 
 import collections
@@ -14,77 +14,80 @@
 from _arbutuswalk.state import routeconfig
 
 REQUESTS_PER_ENDPOINT = 4.0
-"""Requests under way that one model engine is meant to have: above it the
-prompts of others delay the first event of each beyond its objective."""
-ON_DEMAND_REQUESTS = 6.0
-"""The same for endpoints that are filled in at full price: the load is served
-with longer waits rather than at five times the price."""
-SWING = 1.25
-"""Load to be ready for over the usual one, where a surplus costs full price:
-the usual one does not follow the short peaks that a loss itself makes."""
-PROBED = 1
-"""Places that on-demand endpoints leave in a domain, so that orders show when
-there are reclaimable ones again."""
-SCARCE_S = 5.0
-"""Time after a refused order in which reclaimable endpoints count as not to be
-had: some tries of ``REFUSED_PAUSE_S``."""
+"""Target of concurrent requests per model engine. Above it, the processing of
+other prompts delays the first event beyond its objective."""
+REQUESTS_PER_ON_DEMAND_ENDPOINT = 6.0
+"""The same target for on-demand endpoints: longer waits are preferred to
+paying five times the price."""
+LOAD_HEADROOM_FACTOR = 1.25
+"""Factor on the median load for on-demand capacity, where a surplus costs the
+full price. The median ignores the short peaks that a loss itself causes."""
+PROBE_ENDPOINTS_PER_DOMAIN = 1
+"""Endpoints per domain that on-demand orders leave free, so that orders for
+reclaimable ones reveal when these are available again."""
+SHORTAGE_WINDOW_S = 5.0
+"""Time after a refused order in which reclaimable endpoints count as
+unavailable; it spans several retries at ``REFUSED_ORDER_RETRY_S``."""
 LOAD_WINDOW_S = 12.0
-"""Time over whose peak the number is chosen: three times a start-up."""
-LEARN_S = 5.0
-"""Time with load before fewer endpoints than at the start are ordered."""
-START_SURPLUS = 1.7
-"""Reclaimable endpoints over those found at first, until the load is known:
-the traffic of a busy day against that of a quiet one."""
-LEAST_ENDPOINTS = 2
-"""Fewest endpoints of an upstream, so that losing one is survived."""
-REFUSED_PAUSE_S = 2.0
-"""Pause after a refused order in a domain before the next."""
-BOOT_SLACK_S = 2.0
-"""Time beside the start-up after which an ordered endpoint is missing."""
+"""Window of the load samples that the count is based on: three times the
+start-up time of an endpoint."""
+LOAD_LEARNING_S = 5.0
+"""Time under load before the count may fall below the initial number."""
+INITIAL_SURPLUS_FACTOR = 1.7
+"""Factor on the initial number of endpoints until the load is known: the ratio
+of traffic on a busy day to that on a quiet one."""
+MIN_ENDPOINTS = 2
+"""Minimum endpoints of an upstream, so that it survives the loss of one."""
+REFUSED_ORDER_RETRY_S = 2.0
+"""Delay after a refused order before the next one in the same domain."""
+BOOT_GRACE_S = 2.0
+"""Time beyond the start-up after which an ordered endpoint is missing."""
 
 Key = tuple[str, bool]
-"""Failure domain, and whether reclaimable."""
+"""Failure domain, and whether its endpoints are reclaimable."""
 
 
 class Order(NamedTuple):
-    """A number of endpoints of one kind in one failure domain."""
+    """Requested number of endpoints of one kind in one failure domain."""
 
     domain: str
     reclaimable: bool
     count: int
 
 
-class Placed(NamedTuple):
-    """An order that was accepted."""
+class AcceptedOrder(NamedTuple):
+    """An order that the platform accepted, and when."""
 
     count: int
-    at: float
+    accepted_at: float
 
 
 class Fleet:
-    """Orders and load of one upstream, as its holder knows them.
+    """Orders and load of one upstream, as known to the scaling process.
 
     Attributes:
         placed: Last accepted order by domain and kind.
-        refused_at: When an order was last refused, by domain and kind.
-        loads: Times and requests under way, oldest first.
-        loaded_since: When the first load was seen, None before.
-        initial: Endpoints that were there at first, 0 before they are known.
+        refused_at: Time of the last refused order by domain and kind.
+        load_samples: Times and concurrent requests, oldest first.
+        loaded_since: Time of the first sample with load, None before.
+        initial_endpoints: Endpoints at the first decision, 0 before it.
     """
 
     def __init__(self):
-        self.placed: dict[Key, Placed] = {}
+        self.placed: dict[Key, AcceptedOrder] = {}
         self.refused_at: dict[Key, float] = {}
-        self.loads: collections.deque[tuple[float, int]] = collections.deque()
+        self.load_samples: collections.deque[tuple[float, int]] = (
+            collections.deque()
+        )
         self.loaded_since: float | None = None
-        self.initial = 0
+        self.initial_endpoints = 0
 
 
 def note_load(fleet: Fleet, running: int, now: float) -> None:
-    """Notes how many requests are under way."""
-    fleet.loads.append((now, running))
-    while fleet.loads[0][0] < now - LOAD_WINDOW_S:
-        fleet.loads.popleft()
+    """Records the number of concurrent requests."""
+    fleet.load_samples.append((now, running))
+    while fleet.load_samples[0][0] < now - LOAD_WINDOW_S:
+        fleet.load_samples.popleft()
     if running and fleet.loaded_since is None:
         fleet.loaded_since = now
 
@@ -92,50 +95,60 @@
 def note_outcome(
     fleet: Fleet, order: Order, *, accepted: bool, now: float
 ) -> None:
-    """Notes whether an order was accepted."""
+    """Records whether an order was accepted."""
     key = (order.domain, order.reclaimable)
     if accepted:
-        fleet.placed[key] = Placed(order.count, now)
+        fleet.placed[key] = AcceptedOrder(order.count, now)
         fleet.refused_at.pop(key, None)
     else:
         fleet.refused_at[key] = now
 
 
-def surplus(fleet: Fleet, scaling: routeconfig.Scaling, now: float) -> int:
-    """Returns the number of reclaimable endpoints, ready for load peaks."""
-    peak = max((running for _, running in fleet.loads), default=0)
-    unknown = fleet.initial * START_SURPLUS if _learns(fleet, now) else 0
-    wanted = max(unknown, peak / REQUESTS_PER_ENDPOINT)
-    return _bounded(fleet, scaling, wanted, now)
+def reclaimable_count(
+    fleet: Fleet, scaling: routeconfig.Scaling, now: float
+) -> int:
+    """Returns the number of reclaimable endpoints for the peak load."""
+    peak = max((running for _, running in fleet.load_samples), default=0)
+    initial_estimate = (
+        fleet.initial_endpoints * INITIAL_SURPLUS_FACTOR
+        if _is_learning_load(fleet, now)
+        else 0
+    )
+    required = max(initial_estimate, peak / REQUESTS_PER_ENDPOINT)
+    return _clamp_count(fleet, scaling, required, now)
 
 
-def needed(fleet: Fleet, scaling: routeconfig.Scaling, now: float) -> int:
-    """Returns the number of endpoints that there must be at any price."""
-    loads = [running for _, running in fleet.loads] or [0]
-    usual = statistics.median(loads) * SWING
-    return _bounded(fleet, scaling, usual / ON_DEMAND_REQUESTS, now)
+def required_count(
+    fleet: Fleet, scaling: routeconfig.Scaling, now: float
+) -> int:
+    """Returns the number of endpoints required even at the on-demand price."""
+    load_samples = [running for _, running in fleet.load_samples] or [0]
+    typical = statistics.median(load_samples) * LOAD_HEADROOM_FACTOR
+    return _clamp_count(
+        fleet, scaling, typical / REQUESTS_PER_ON_DEMAND_ENDPOINT, now
+    )
 
 
-def _bounded(
+def _clamp_count(
     fleet: Fleet, scaling: routeconfig.Scaling, endpoints: float, now: float
 ) -> int:
-    most = scaling.maximum * len(scaling.prices)
-    count = max(LEAST_ENDPOINTS, math.ceil(endpoints))
-    if _learns(fleet, now):
-        count = max(count, fleet.initial)
-    return min(most, count)
+    limit = scaling.maximum * len(scaling.prices)
+    count = max(MIN_ENDPOINTS, math.ceil(endpoints))
+    if _is_learning_load(fleet, now):
+        count = max(count, fleet.initial_endpoints)
+    return min(limit, count)
 
 
-def _learns(fleet: Fleet, now: float) -> bool:
-    """Tells whether the load has not been seen for long enough."""
+def _is_learning_load(fleet: Fleet, now: float) -> bool:
+    """Returns whether the load was seen for less than ``LOAD_LEARNING_S``."""
     since = fleet.loaded_since
-    return since is None or now - since < LEARN_S
+    return since is None or now - since < LOAD_LEARNING_S
 
 
 def note_reclaim(fleet: Fleet, domain: str, now: float) -> None:
-    """Notes that the reclaimable endpoints of a domain are being taken."""
+    """Records that a domain's reclaimable endpoints are being reclaimed."""
     key = (domain, True)
-    fleet.placed[key] = Placed(0, now)
+    fleet.placed[key] = AcceptedOrder(0, now)
     fleet.refused_at[key] = now
 
 
@@ -150,35 +163,41 @@
     Args:
         fleet: Orders and load so far.
         scaling: Bounds and prices.
-        ready: Endpoints that serve and stay, by domain and kind.
+        ready: Serving endpoints that are not leaving, by domain and kind.
         now: Seconds.
     """
-    _adopt(fleet, scaling, ready, now)
-    count = surplus(fleet, scaling, now)
+    _adopt_running(fleet, scaling, ready, now)
+    count = reclaimable_count(fleet, scaling, now)
     targets = _reclaimable_targets(fleet, scaling, ready, count, now)
-    least = needed(fleet, scaling, now)
-    targets |= _on_demand_targets(fleet, scaling, ready, targets, least, now)
+    on_demand_minimum = required_count(fleet, scaling, now)
+    targets |= _on_demand_targets(
+        fleet, scaling, ready, targets, on_demand_minimum, now
+    )
     return [
         Order(domain, reclaimable, target)
         for (domain, reclaimable), target in sorted(targets.items())
-        if _is_due(fleet, scaling, ready, (domain, reclaimable), target, now)
+        if _is_order_due(
+            fleet, scaling, ready, (domain, reclaimable), target, now
+        )
     ]
 
 
-def _adopt(
+def _adopt_running(
     fleet: Fleet,
     scaling: routeconfig.Scaling,
     ready: dict[Key, int],
     now: float,
 ) -> None:
-    """Takes what runs for what was ordered, where no order is known."""
-    fleet.initial = fleet.initial or sum(ready.values())
+    """Treats running endpoints as ordered where no order is known."""
+    fleet.initial_endpoints = fleet.initial_endpoints or sum(ready.values())
     for domain in scaling.prices:
-        for kind in (False, True):
-            key = (domain, kind)
+        for reclaimable in (False, True):
+            key = (domain, reclaimable)
             if key not in fleet.placed:
-                long_ago = now - scaling.boot_s - BOOT_SLACK_S
-                fleet.placed[key] = Placed(ready.get(key, 0), long_ago)
+                before_last_boot = now - scaling.boot_s - BOOT_GRACE_S
+                fleet.placed[key] = AcceptedOrder(
+                    ready.get(key, 0), before_last_boot
+                )
 
 
 def _reclaimable_targets(
@@ -188,22 +207,22 @@
     count: int,
     now: float,
 ) -> dict[Key, int]:
-    """Spreads the number over the domains that have reclaimable endpoints."""
+    """Spreads the count over the domains that offer reclaimable endpoints."""
     if not scaling.reclaimable_price:
         return {}
     domains = sorted(scaling.prices, key=scaling.prices.get)
     targets = {}
-    for place, domain in enumerate(domains):
+    for position, domain in enumerate(domains):
         key = (domain, True)
         refused_at = fleet.refused_at.get(key, -math.inf)
-        if now - refused_at < REFUSED_PAUSE_S:
+        if now - refused_at < REFUSED_ORDER_RETRY_S:
             targets[key] = ready.get(key, 0)
             continue
-        share = (count + len(domains) - 1 - place) // len(domains)
+        share = (count + len(domains) - 1 - position) // len(domains)
         on_demand = fleet.placed[domain, False].count
         room = scaling.maximum - on_demand
-        least = max(0, scaling.minimum - on_demand)
-        targets[key] = max(least, min(share, room))
+        lower_bound = max(0, scaling.minimum - on_demand)
+        targets[key] = max(lower_bound, min(share, room))
     return targets
 
 
@@ -215,70 +234,77 @@
     count: int,
     now: float,
 ) -> dict[Key, int]:
-    """Fills in for reclaimable endpoints that are missing.
+    """Replaces missing reclaimable endpoints by on-demand ones.
 
-    More are ordered for those that nobody waits for; fewer only once
-    reclaimable ones serve in their place.
+    The count rises for missing endpoints that are not already starting, and
+    falls only once reclaimable endpoints serve instead.
     """
-    stay = [
+    staying = [
         min(ready.get(key, 0), target) for key, target in reclaimable.items()
     ]
-    serving = sum(stay) - _at_risk(fleet, stay, now)
-    coming = sum(
-        _coming(fleet, scaling, ready, key, now) for key in reclaimable
+    serving = sum(staying) - _endpoints_at_risk(fleet, staying, now)
+    starting = sum(
+        _starting_count(fleet, scaling, ready, key, now) for key in reclaimable
     )
     domains = sorted(scaling.prices, key=scaling.prices.get)
-    current = {d: fleet.placed[d, False].count for d in domains}
+    current = {
+        domain_name: fleet.placed[domain_name, False].count
+        for domain_name in domains
+    }
     total = sum(current.values())
-    wanted = max(count - serving - coming, min(total, count - serving), 0)
+    required = max(count - serving - starting, min(total, count - serving), 0)
     targets = dict(current)
     for domain in domains:
-        missing = wanted - sum(targets.values())
+        missing = required - sum(targets.values())
         if missing > 0:
-            # What was ordered counts until a smaller order is accepted.
-            others = max(
+            # An order counts until a smaller one is accepted.
+            reclaimable_bound = max(
                 reclaimable.get((domain, True), 0),
                 fleet.placed[domain, True].count,
-                PROBED if reclaimable else 0,
+                PROBE_ENDPOINTS_PER_DOMAIN if reclaimable else 0,
             )
-            room = scaling.maximum - others - targets[domain]
+            room = scaling.maximum - reclaimable_bound - targets[domain]
             targets[domain] += max(0, min(missing, room))
     for domain in reversed(domains):
-        spare = sum(targets.values()) - wanted
-        least = max(0, scaling.minimum - ready.get((domain, True), 0))
-        if spare > 0:
-            targets[domain] -= max(0, min(spare, targets[domain] - least))
+        excess = sum(targets.values()) - required
+        lower_bound = max(0, scaling.minimum - ready.get((domain, True), 0))
+        if excess > 0:
+            targets[domain] -= max(
+                0, min(excess, targets[domain] - lower_bound)
+            )
     for domain in domains:
-        least = scaling.minimum - reclaimable.get((domain, True), 0)
-        targets[domain] = max(targets[domain], least)
+        lower_bound = scaling.minimum - reclaimable.get((domain, True), 0)
+        targets[domain] = max(targets[domain], lower_bound)
     return {(domain, False): target for domain, target in targets.items()}
 
 
-def _at_risk(fleet: Fleet, stay: list[int], now: float) -> int:
-    """Returns the endpoints that the next reclaim may take for long.
+def _endpoints_at_risk(fleet: Fleet, staying: list[int], now: float) -> int:
+    """Returns how many endpoints the next reclaim may remove.
 
-    While no reclaimable ones are to be had, a second domain that goes cannot
-    be replaced in time: a start takes longer than the notice.
+    While reclaimable endpoints are unavailable, the loss of a second domain
+    cannot be made up in time: a start takes longer than the notice period.
     """
     refused_at = max(fleet.refused_at.values(), default=-math.inf)
-    return max(stay, default=0) if now - refused_at < SCARCE_S else 0
+    return (
+        max(staying, default=0) if now - refused_at < SHORTAGE_WINDOW_S else 0
+    )
 
 
-def _coming(
+def _starting_count(
     fleet: Fleet,
     scaling: routeconfig.Scaling,
     ready: dict[Key, int],
     key: Key,
     now: float,
 ) -> int:
-    """Returns how many ordered endpoints may still be starting."""
-    placed = fleet.placed[key]
-    if now - placed.at > scaling.boot_s + BOOT_SLACK_S:
+    """Returns the number of ordered endpoints that may still be starting."""
+    accepted = fleet.placed[key]
+    if now - accepted.accepted_at > scaling.boot_s + BOOT_GRACE_S:
         return 0
-    return max(0, placed.count - ready.get(key, 0))
+    return max(0, accepted.count - ready.get(key, 0))
 
 
-def _is_due(
+def _is_order_due(
     fleet: Fleet,
     scaling: routeconfig.Scaling,
     ready: dict[Key, int],
@@ -286,14 +312,14 @@
     target: int,
     now: float,
 ) -> bool:
-    """Tells whether an order has to be sent, or sent again."""
-    placed = fleet.placed[key]
-    if target < placed.count:
+    """Returns whether an order has to be sent or resent."""
+    accepted = fleet.placed[key]
+    if target < accepted.count:
         return True
     refused_at = fleet.refused_at.get(key, -math.inf)
-    if now - refused_at < REFUSED_PAUSE_S:
+    if now - refused_at < REFUSED_ORDER_RETRY_S:
         return False
-    if placed.count != target:
+    if accepted.count != target:
         return True
-    overdue = now - placed.at > scaling.boot_s + BOOT_SLACK_S
+    overdue = now - accepted.accepted_at > scaling.boot_s + BOOT_GRACE_S
     return overdue and ready.get(key, 0) < target
--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -1,7 +1,7 @@
-"""The inventory's shape and its checks.
+"""Schema and validation of the inventory.
 
-The inventory is operators' input: every problem is reported with the path of
-the key, the value and what would be accepted.
+The inventory is operator input: every problem is reported with the path of
+the key, its value and the accepted values.
 """
 
 import hashlib
@@ -12,17 +12,18 @@
 
 from _arbutuswalk.base import settings
 
-KINDS = ("model", "service")
+UPSTREAM_KINDS = ("model", "service")
 MODEL_ROUTES = ("chat", "completions")
-NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
 MAX_ROUTES = 64
 
 
 class Route(TypedDict):
-    """One route of a plain service.
+    """One route of a service upstream.
 
-    ``path`` may end in ``*``. ``status`` names a path where ``{key}`` stands
-    for the idempotency key and where the service tells a call's outcome.
+    A trailing ``*`` in ``path`` matches any suffix. ``status`` is the path of
+    the service's status query, which returns the outcome of a call; ``{key}``
+    in it is replaced by the idempotency key.
     """
 
     name: str
@@ -33,7 +34,7 @@
 
 
 class Upstream(TypedDict):
-    """One upstream: owner, version and where it may run."""
+    """One upstream: its owner, version and permitted placement."""
 
     name: str
     kind: str
@@ -50,7 +51,7 @@
 
 
 class Workspace(TypedDict):
-    """One workspace: who may call, and its share."""
+    """One workspace: its access token and its scheduling weight."""
 
     name: str
     token_sha256: str
@@ -58,7 +59,7 @@
 
 
 class Rules(TypedDict):
-    """Rules that hold for the whole inventory."""
+    """Objectives and defaults for all upstreams of the inventory."""
 
     first_token_ms: int
     between_tokens_ms: int
@@ -68,14 +69,14 @@
 
 
 class InstanceClass(TypedDict):
-    """One instance class: how many requests it runs at a time."""
+    """One instance class and its number of concurrent requests."""
 
     name: str
     slots: int
 
 
 class Inventory(TypedDict):
-    """The whole inventory."""
+    """A complete, validated inventory."""
 
     domains: list[str]
     classes: list[InstanceClass]
@@ -85,18 +86,20 @@
 
 
 def _is_name(value: object) -> bool:
-    return isinstance(value, str) and NAME.fullmatch(value) is not None
+    return isinstance(value, str) and NAME_PATTERN.fullmatch(value) is not None
 
 
-def _is_names(value: object) -> bool:
+def _is_name_list(value: object) -> bool:
     return isinstance(value, list) and all(_is_name(item) for item in value)
 
 
-def _is_tables(value: object) -> bool:
-    return isinstance(value, list) and all(isinstance(v, dict) for v in value)
+def _is_table_list(value: object) -> bool:
+    return isinstance(value, list) and all(
+        isinstance(item, dict) for item in value
+    )
 
 
-def _is_digest(value: object) -> bool:
+def _is_sha256_hex(value: object) -> bool:
     text = value if isinstance(value, str) else ""
     return re.fullmatch(r"[0-9a-f]{64}", text) is not None
 
@@ -105,48 +108,54 @@
     return isinstance(value, str) and value.startswith("/")
 
 
-def _is_status(value: object) -> bool:
+def _is_status_path(value: object) -> bool:
     return value == "" or (_is_path(value) and "{key}" in value)
 
 
-def _is_methods(value: object) -> bool:
+def _is_method_list(value: object) -> bool:
     known = {"GET", "POST", "PUT", "PATCH", "DELETE"}
     return isinstance(value, list) and bool(value) and known.issuperset(value)
 
 
-_NATURAL = "a whole number of at least 0"
-_NAME = "a name of lower case letters, digits, '.', '_' and '-'"
-_TOP = (
-    settings.Field("domains", "a list of names", _is_names),
-    settings.Field("classes", "a list of tables", _is_tables),
-    settings.Field("rules", "a table", lambda v: isinstance(v, dict), {}),
-    settings.Field("workspaces", "a list of tables", _is_tables),
-    settings.Field("upstreams", "a list of tables", _is_tables),
+_NATURAL_FORMAT = "a whole number of at least 0"
+_NAME_FORMAT = "a name of lower case letters, digits, '.', '_' and '-'"
+_INVENTORY_FIELDS = (
+    settings.Field("domains", "a list of names", _is_name_list),
+    settings.Field("classes", "a list of tables", _is_table_list),
+    settings.Field(
+        "rules", "a table", lambda value: isinstance(value, dict), {}
+    ),
+    settings.Field("workspaces", "a list of tables", _is_table_list),
+    settings.Field("upstreams", "a list of tables", _is_table_list),
 )
-_CLASS = (
-    settings.Field("name", _NAME, _is_name),
-    settings.Field("slots", _NATURAL, settings.is_natural),
+_CLASS_FIELDS = (
+    settings.Field("name", _NAME_FORMAT, _is_name),
+    settings.Field("slots", _NATURAL_FORMAT, settings.is_natural),
 )
-_RULES = (
-    settings.Field("first_token_ms", _NATURAL, settings.is_natural, 410),
-    settings.Field("between_tokens_ms", _NATURAL, settings.is_natural, 62),
+_RULES_FIELDS = (
+    settings.Field("first_token_ms", _NATURAL_FORMAT, settings.is_natural, 410),
+    settings.Field(
+        "between_tokens_ms", _NATURAL_FORMAT, settings.is_natural, 62
+    ),
+    settings.Field(
+        "cost_ceiling_micro_per_hour", _NATURAL_FORMAT, settings.is_natural, 0
+    ),
     settings.Field(
-        "cost_ceiling_micro_per_hour", _NATURAL, settings.is_natural, 0
+        "rollout_deadline_s", _NATURAL_FORMAT, settings.is_natural, 3600
     ),
-    settings.Field("rollout_deadline_s", _NATURAL, settings.is_natural, 3600),
-    settings.Field("bake_s", _NATURAL, settings.is_natural, 60),
+    settings.Field("bake_s", _NATURAL_FORMAT, settings.is_natural, 60),
 )
-_WORKSPACE = (
-    settings.Field("name", _NAME, _is_name),
-    settings.Field("token_sha256", "64 hex digits", _is_digest),
+_WORKSPACE_FIELDS = (
+    settings.Field("name", _NAME_FORMAT, _is_name),
+    settings.Field("token_sha256", "64 hex digits", _is_sha256_hex),
     settings.Field("weight", "a positive number", settings.is_positive, 1),
 )
-_ROUTE = (
-    settings.Field("name", _NAME, _is_name),
+_ROUTE_FIELDS = (
+    settings.Field("name", _NAME_FORMAT, _is_name),
     settings.Field("path", "a path that starts with /", _is_path),
-    settings.Field("methods", "a list of HTTP methods", _is_methods),
+    settings.Field("methods", "a list of HTTP methods", _is_method_list),
     settings.Field("repeatable", "true or false", settings.is_flag),
-    settings.Field("status", "a path with {key}", _is_status, ""),
+    settings.Field("status", "a path with {key}", _is_status_path, ""),
 )
 
 
@@ -154,59 +163,65 @@
     natural = settings.is_natural
     deadline = rules.get("rollout_deadline_s", 3600)
     return (
-        settings.Field("name", _NAME, _is_name),
-        settings.Field("kind", "model or service", lambda v: v in KINDS),
-        settings.Field("owner", _NAME, _is_name),
-        settings.Field("version", _NAME, _is_name),
-        settings.Field("domains", "a list of names", _is_names),
-        settings.Field("classes", "a list of names", _is_names),
-        settings.Field("floor", _NATURAL, natural, 0),
-        settings.Field("most", _NATURAL, natural, 0),
-        settings.Field("rollout_deadline_s", _NATURAL, natural, deadline),
-        settings.Field("bake_s", _NATURAL, natural, rules.get("bake_s", 60)),
+        settings.Field("name", _NAME_FORMAT, _is_name),
+        settings.Field(
+            "kind", "model or service", lambda value: value in UPSTREAM_KINDS
+        ),
+        settings.Field("owner", _NAME_FORMAT, _is_name),
+        settings.Field("version", _NAME_FORMAT, _is_name),
+        settings.Field("domains", "a list of names", _is_name_list),
+        settings.Field("classes", "a list of names", _is_name_list),
+        settings.Field("floor", _NATURAL_FORMAT, natural, 0),
+        settings.Field("most", _NATURAL_FORMAT, natural, 0),
+        settings.Field(
+            "rollout_deadline_s", _NATURAL_FORMAT, natural, deadline
+        ),
+        settings.Field(
+            "bake_s", _NATURAL_FORMAT, natural, rules.get("bake_s", 60)
+        ),
         settings.Field("fenced", "true or false", settings.is_flag, False),
-        settings.Field("routes", "a list of tables", _is_tables, []),
+        settings.Field("routes", "a list of tables", _is_table_list, []),
     )
 
 
 def check(
     raw: dict[str, Any], *, where: str
 ) -> Inventory | settings.BadSettings:
-    """Checks a parsed inventory and fills in defaults."""
-    top = settings.check(raw, _TOP, where=where)
-    if isinstance(top, settings.BadSettings):
-        return top
+    """Validates a parsed inventory and fills in defaults."""
+    inventory_fields = settings.check(raw, _INVENTORY_FIELDS, where=where)
+    if isinstance(inventory_fields, settings.BadSettings):
+        return inventory_fields
     problems: list[str] = []
 
-    def table(item: dict[str, Any], fields, name: str) -> dict[str, Any]:
+    def check_table(item: dict[str, Any], fields, name: str) -> dict[str, Any]:
         checked = settings.check(item, fields, where=f"{where}: {name}")
         if isinstance(checked, settings.BadSettings):
             problems.extend(checked.problems)
             return item
         return checked
 
-    rules = table(top["rules"], _RULES, "rules")
+    rules = check_table(inventory_fields["rules"], _RULES_FIELDS, "rules")
     inventory = {
-        "domains": top["domains"],
+        "domains": inventory_fields["domains"],
         "classes": [
-            table(item, _CLASS, f"classes[{i}]")
-            for i, item in enumerate(top["classes"])
+            check_table(item, _CLASS_FIELDS, f"classes[{i}]")
+            for i, item in enumerate(inventory_fields["classes"])
         ],
         "rules": rules,
         "workspaces": [
-            table(item, _WORKSPACE, f"workspaces[{i}]")
-            for i, item in enumerate(top["workspaces"])
+            check_table(item, _WORKSPACE_FIELDS, f"workspaces[{i}]")
+            for i, item in enumerate(inventory_fields["workspaces"])
         ],
         "upstreams": [
-            table(item, _upstream_fields(rules), f"upstreams[{i}]")
-            for i, item in enumerate(top["upstreams"])
+            check_table(item, _upstream_fields(rules), f"upstreams[{i}]")
+            for i, item in enumerate(inventory_fields["upstreams"])
         ],
     }
     for i, upstream in enumerate(inventory["upstreams"]):
         routes = upstream.get("routes", [])
         if isinstance(routes, list):
             upstream["routes"] = [
-                table(item, _ROUTE, f"upstreams[{i}].routes[{j}]")
+                check_table(item, _ROUTE_FIELDS, f"upstreams[{i}].routes[{j}]")
                 for j, item in enumerate(routes)
                 if isinstance(item, dict)
             ]
@@ -218,7 +233,7 @@
 
 
 def _cross_check(inventory: Inventory, where: str) -> list[str]:
-    """Checks names against each other and rules against limits."""
+    """Checks references between names, and values against their bounds."""
     problems = []
     for group in ("workspaces", "upstreams", "classes"):
         names = [item["name"] for item in inventory[group]]
@@ -226,33 +241,36 @@
             problems.append(f"{where}: {group}: {name!r} stands twice")
     classes = {item["name"] for item in inventory["classes"]}
     for upstream in inventory["upstreams"]:
-        here = f"{where}: upstreams: {upstream['name']}"
-        problems += _unknown(
-            upstream["domains"], inventory["domains"], f"{here}: domains"
+        location = f"{where}: upstreams: {upstream['name']}"
+        problems += _check_known(
+            upstream["domains"], inventory["domains"], f"{location}: domains"
+        )
+        problems += _check_known(
+            upstream["classes"], classes, f"{location}: classes"
         )
-        problems += _unknown(upstream["classes"], classes, f"{here}: classes")
-        problems += _check_upstream(upstream, here)
+        problems += _check_upstream(upstream, location)
     return problems
 
 
-def _check_upstream(upstream: Upstream, here: str) -> list[str]:
+def _check_upstream(upstream: Upstream, location: str) -> list[str]:
     problems = []
     if upstream["kind"] == "service" and not upstream["routes"]:
-        problems.append(f"{here}: routes: a service needs at least one")
+        problems.append(f"{location}: routes: a service needs at least one")
     if len(upstream["routes"]) > MAX_ROUTES:
-        problems.append(f"{here}: routes: at most {MAX_ROUTES}")
+        problems.append(f"{location}: routes: at most {MAX_ROUTES}")
     if upstream["most"] and upstream["floor"] > upstream["most"]:
-        problems.append(f"{here}: floor: above most, {upstream['most']}")
-    shortest = shortest_move_s(upstream)
-    if upstream["rollout_deadline_s"] < shortest:
+        problems.append(f"{location}: floor: above most, {upstream['most']}")
+    min_duration_s = min_move_duration_s(upstream)
+    if upstream["rollout_deadline_s"] < min_duration_s:
         problems.append(
-            f"{here}: rollout_deadline_s: {upstream['rollout_deadline_s']} is"
-            f" impossible; a move with this bake takes at least {shortest}"
+            f"{location}: rollout_deadline_s:"
+            f" {upstream['rollout_deadline_s']} is impossible;"
+            f" a move with this bake takes at least {min_duration_s}"
         )
     return problems
 
 
-def _unknown(names, known, where: str) -> list[str]:
+def _check_known(names, known, where: str) -> list[str]:
     accepted = ", ".join(sorted(known))
     return [
         f"{where}: {name!r} is not in the inventory; accepted: {accepted}"
@@ -261,17 +279,17 @@
     ]
 
 
-GROW_S = 5
-"""Least seconds between the start of a move and its bake."""
+MIN_GROWTH_S = 5
+"""Minimum time between the start of a move and its bake."""
 
 
-def shortest_move_s(upstream: Upstream) -> int:
-    """Returns the least seconds a move of this upstream can take."""
-    return upstream["bake_s"] + GROW_S
+def min_move_duration_s(upstream: Upstream) -> int:
+    """Returns the minimum duration of a move of this upstream."""
+    return upstream["bake_s"] + MIN_GROWTH_S
 
 
 def digest(text: str | bytes) -> str:
-    """Returns the SHA-256 of ``text`` in hex, as for tokens."""
+    """Returns the SHA-256 of ``text`` in hex, as stored for access tokens."""
     data = text.encode() if isinstance(text, str) else text
     return hashlib.sha256(data).hexdigest()
 
@@ -285,7 +303,7 @@
 
 
 def find_route(upstream: Upstream, method: str, path: str) -> Route | None:
-    """Returns the first route that matches."""
+    """Returns the first route that matches a method and a path."""
     for route in upstream["routes"]:
         pattern = route["path"]
         if pattern.endswith("*"):
--- a/src/_arbutuswalk/state/ledger.py
+++ b/src/_arbutuswalk/state/ledger.py
@@ -1,9 +1,9 @@
 """The ledger of non-repeatable calls: each runs at most once.
 
-An intent is committed before the first byte of a call leaves an entry. From
-then on nobody sends it again: a resend gets the recorded answer, learns that
-the call is running, or that its outcome is unknown. Only the entry that never
-opened a connection may withdraw its intent.
+An intent is committed before an entry sends the first byte of a call. After
+that no entry sends the call again: a resend gets the recorded response, or
+learns that the call is running or that its outcome is unknown. An entry may
+withdraw its intent only if it never opened a connection.
 """
 
 from _arbutuswalk.state import commands
@@ -11,19 +11,19 @@
 from _arbutuswalk.state import tables as rows
 
 RECORD_KEPT_MS = 24 * 3600 * 1000
-"""How long a record is kept in log time; callers must resend sooner."""
+"""Retention of call records in log time; callers must resend within it."""
 
 WITHDRAWN_KEPT_MS = 600_000
-"""How long a withdrawn attempt's intent may still be on its way."""
+"""Maximum delay of an intent that is committed after its withdrawal."""
 
 
 def call_id(workspace: str, key: str) -> str:
-    """Returns the id of a call's row."""
+    """Returns the key of a call in ``Tables.calls``."""
     return f"{workspace}\n{key}"
 
 
 def begin(tables: rows.Tables, command: commands.BeginCall) -> outcomes.Outcome:
-    """Grants a call to one attempt, or tells what became of it."""
+    """Grants a call to one attempt, or returns the state of the call."""
     if command.attempt in tables.withdrawn:
         return outcomes.Stale(what=f"attempt {command.attempt}")
     call = call_id(command.workspace, command.key)
@@ -33,8 +33,8 @@
     if row.digest != command.digest:
         return outcomes.Reused(what=f"idempotency key {command.key}")
     if row.attempt == command.attempt and row.state == "running":
-        return outcomes.Granted()  # its answer was lost on the way
-    return _state(row)
+        return outcomes.Granted()  # the response to the first request was lost
+    return _call_state(row)
 
 
 def _grant(
@@ -64,11 +64,11 @@
 def withdraw(
     tables: rows.Tables, command: commands.WithdrawCall
 ) -> outcomes.Outcome:
-    """Removes an intent whose call never left its entry.
+    """Removes an intent whose call was never sent.
 
-    The intent may still be on its way: committed after this, it would stay
-    ``running`` for nobody and keep the key from its caller. So the attempt is
-    remembered and its intent refused when it comes.
+    The intent may be committed after its withdrawal. It would then stay
+    ``running`` forever and block its key, so the attempt is recorded and a
+    later intent of that attempt is refused.
     """
     tables.withdrawn[command.attempt] = tables.time_ms
     call = call_id(command.workspace, command.key)
@@ -84,7 +84,7 @@
 def finish(
     tables: rows.Tables, command: commands.FinishCall
 ) -> outcomes.Outcome:
-    """Records an answer, even one that comes after ``unknown``."""
+    """Records a response, even if the state is already ``unknown``."""
     call = call_id(command.workspace, command.key)
     row = tables.calls.get(call)
     if row is None or row.attempt != command.attempt:
@@ -99,7 +99,9 @@
     return outcomes.Accepted()
 
 
-def lose(tables: rows.Tables, command: commands.LoseCall) -> outcomes.Outcome:
+def mark_unknown(
+    tables: rows.Tables, command: commands.LoseCall
+) -> outcomes.Outcome:
     """Records that the outcome of a running call is unknown."""
     call = call_id(command.workspace, command.key)
     row = tables.calls.get(call)
@@ -110,8 +112,10 @@
     return outcomes.Accepted()
 
 
-def lose_calls_of(tables: rows.Tables, entry: str, incarnation: int) -> None:
-    """Marks the running calls of an entry's lost incarnation unknown."""
+def mark_calls_unknown(
+    tables: rows.Tables, entry: str, incarnation: int
+) -> None:
+    """Marks running calls of an entry's lost incarnations as unknown."""
     for call, row in tables.calls.items():
         if row.state != "running" or row.entry != entry:
             continue
@@ -120,29 +124,29 @@
 
 
 def find(tables: rows.Tables, workspace: str, key: str) -> outcomes.Outcome:
-    """Returns what is known of a call."""
+    """Returns the recorded state of a call."""
     row = tables.calls.get(call_id(workspace, key))
-    return _state(row) if row else outcomes.Absent()
+    return _call_state(row) if row else outcomes.Absent()
 
 
 def expire(tables: rows.Tables) -> None:
-    """Forgets records older than any caller's resend."""
-    oldest = tables.time_ms - RECORD_KEPT_MS
+    """Removes call records and withdrawals past their retention."""
+    cutoff_ms = tables.time_ms - RECORD_KEPT_MS
     expired = []
     for call, row in tables.calls.items():
-        if row.at_ms >= oldest:
+        if row.at_ms >= cutoff_ms:
             break
         expired.append(call)
     for call in expired:
         del tables.calls[call]
-    oldest = tables.time_ms - WITHDRAWN_KEPT_MS
+    cutoff_ms = tables.time_ms - WITHDRAWN_KEPT_MS
     for attempt, at_ms in list(tables.withdrawn.items()):
-        if at_ms >= oldest:
+        if at_ms >= cutoff_ms:
             return
         del tables.withdrawn[attempt]
 
 
-def _state(row: rows.CallRow) -> outcomes.CallState:
+def _call_state(row: rows.CallRow) -> outcomes.CallState:
     return outcomes.CallState(
         state=row.state,
         entry=row.entry,
--- a/src/_arbutuswalk/state/machine.py
+++ b/src/_arbutuswalk/state/machine.py
@@ -1,4 +1,4 @@
-"""The state machine: one committed command changes all tables in one step."""
+"""State machine: applies committed commands to the tables, one at a time."""
 
 import json
 from typing import Any
@@ -18,8 +18,8 @@
 from _arbutuswalk.state import usage
 from _arbutuswalk.state import view
 
-EXPIRY_MS = 1000
-"""Log time between two expiries of old records."""
+EXPIRY_INTERVAL_MS = 1000
+"""Interval between removals of expired records, in log time."""
 
 _HANDLERS = {
     commands.Apply: configuration.apply,
@@ -28,14 +28,14 @@
     commands.BeginCall: ledger.begin,
     commands.WithdrawCall: ledger.withdraw,
     commands.FinishCall: ledger.finish,
-    commands.LoseCall: ledger.lose,
+    commands.LoseCall: ledger.mark_unknown,
     commands.Isolate: quarantine.isolate,
     commands.Release: quarantine.release,
     commands.ReportDeath: quarantine.report_death,
     commands.StepMove: moves.step,
-    commands.OrderInstance: fleet.order,
-    commands.SettleOrder: fleet.settle,
-    commands.MarkInstance: fleet.mark,
+    commands.OrderInstance: fleet.record_order,
+    commands.SettleOrder: fleet.settle_order,
+    commands.MarkInstance: fleet.record_reclaim_notice,
     commands.Charge: charges.settle,
     commands.PublishRoutes: published.publish,
     commands.BeginRollout: rollouts.begin,
@@ -43,7 +43,7 @@
     commands.SettleUsage: usage.settle,
 }
 
-_EXPIRY = (
+_EXPIRY_FUNCTIONS = (
     configuration.expire,
     ledger.expire,
     entries.expire,
@@ -52,7 +52,7 @@
     fleet.expire,
 )
 
-_ROWS = {
+_ROW_TYPES = {
     "operations": rows.Operation,
     "entries": rows.EntryRow,
     "calls": rows.CallRow,
@@ -67,20 +67,20 @@
 
 
 def stamp(command: commands.Command, at_ms: int) -> bytes:
-    """Returns the log payload: leader's wall time and the command."""
+    """Returns the log payload: the leader's wall time and the command."""
     return f"{at_ms} ".encode() + commands.encode(command)
 
 
 def stamp_encoded(command: bytes, at_ms: int) -> bytes:
-    """Is ``stamp`` for a command that is encoded already."""
+    """Returns the log payload of an already encoded command."""
     return f"{at_ms} ".encode() + command
 
 
 def apply(tables: rows.Tables, payload: bytes, index: int) -> outcomes.Outcome:
     """Applies one committed payload.
 
-    Log time is the highest stamp seen, so that a leader whose wall clock
-    stands behind its predecessor's cannot turn it back.
+    Log time is the highest timestamp applied, so that it never goes back when
+    a new leader's wall clock is behind its predecessor's.
     """
     at_ms, _, encoded = payload.partition(b" ")
     tables.time_ms = max(tables.time_ms, int(at_ms))
@@ -99,33 +99,33 @@
 
 
 def _expire(tables: rows.Tables) -> None:
-    if tables.time_ms - tables.expired_ms < EXPIRY_MS:
+    if tables.time_ms - tables.expired_ms < EXPIRY_INTERVAL_MS:
         return
     tables.expired_ms = tables.time_ms
-    for expire in _EXPIRY:
-        expire(tables)
+    for expire_records in _EXPIRY_FUNCTIONS:
+        expire_records(tables)
 
 
 def dump(tables: rows.Tables) -> bytes:
-    """Returns the tables as JSON bytes, equal for equal tables."""
+    """Returns the tables as JSON bytes, identical for equal tables."""
     return json.dumps(to_json(tables), separators=(",", ":")).encode()
 
 
 def to_json(tables: rows.Tables) -> dict[str, Any]:
-    """Returns the tables as JSON values; rows become lists."""
+    """Returns the tables as JSON values; encoding turns rows into lists."""
     return dict(vars(tables))
 
 
 def load(data: bytes) -> rows.Tables:
-    """Parses ``dump``'s result."""
-    values = json.loads(data)
+    """Parses the result of ``dump``."""
+    parsed = json.loads(data)
     tables = rows.Tables()
-    for name, value in values.items():
-        kind = _ROWS.get(name)
-        if kind is None:
-            setattr(tables, name, value)
+    for name, content in parsed.items():
+        row_type = _ROW_TYPES.get(name)
+        if row_type is None:
+            setattr(tables, name, content)
         else:
-            table = {key: kind(*fields) for key, fields in value.items()}
+            table = {key: row_type(*fields) for key, fields in content.items()}
             setattr(tables, name, table)
     tables.history = [rows.Revision(*fields) for fields in tables.history]
     return tables
--- a/src/_arbutuswalk/state/moveplan.py
+++ b/src/_arbutuswalk/state/moveplan.py
@@ -1,9 +1,9 @@
-"""Decides the steps of version moves from what entries report.
+"""Decides the steps of version moves from the entries' reports.
 
-The share of a new version grows with evidence, route by route; routes that may
-not be repeated go last and slowest. A move is taken back as soon as the
-evidence against it suffices, or when there is not enough for it by its
-deadline.
+The traffic share of a new version grows route by route with the evidence for
+it; non-repeatable routes start last and grow slowest. A move is taken back as
+soon as the evidence against it reaches a threshold, or if the evidence for it
+is insufficient at its deadline.
 """
 
 import math
@@ -16,59 +16,60 @@
 from _arbutuswalk.state import moves
 from _arbutuswalk.state import tables as rows
 
-STEPS = (20, 50, 100, 250, 500, 1000)
-"""Shares in per mille of routes that may be repeated."""
-CAREFUL_STEPS = (10, 20, 50, 100, 200, 350, 500, 1000)
-"""Shares of routes that may not be repeated."""
-REPEATABLE_FIRST = 500
-"""Share that repeatable routes must have before the others begin."""
-OBSERVE_MS = 2000
-"""How long a route is watched before its first share is chosen."""
-SMALL_STEPS = 3
-"""How many of the steps count as a small share."""
-LEAST_OUTCOMES = 3
-MARGIN = 2
-"""How many times the least evidence a quiet route's share aims at."""
-ENOUGH_OUTCOMES = 20
-LOG_THRESHOLD = math.log(1000)
-"""Evidence at which a version is taken back; one good move in a thousand is
-by each test."""
-CAREFUL_FACTOR = 2
+REPEATABLE_STEPS_PER_MILLE = (20, 50, 100, 250, 500, 1000)
+"""Successive shares of repeatable routes."""
+NON_REPEATABLE_STEPS_PER_MILLE = (10, 20, 50, 100, 200, 350, 500, 1000)
+"""Successive shares of non-repeatable routes."""
+MIN_REPEATABLE_SHARE_PER_MILLE = 500
+"""Share of all repeatable routes above which non-repeatable ones start."""
+OBSERVATION_MS = 2000
+"""Time for which a route is observed before its first share is chosen."""
+SMALL_STEP_COUNT = 3
+"""Number of first steps that count as a small share."""
+MIN_OUTCOMES = 3
+FIRST_SHARE_MARGIN_FACTOR = 2
+"""Multiple of ``MIN_OUTCOMES`` that the first share of a route aims at."""
+SUFFICIENT_OUTCOMES = 20
+LOG_EVIDENCE_THRESHOLD = math.log(1000)
+"""Log evidence at which a version is taken back. Each test takes back at most
+one good version in a thousand."""
+NON_REPEATABLE_FACTOR = 2
 
 
 class RouteTrial:
     """Evidence on one route of a move.
 
     Attributes:
-        evidence: Outcomes of both versions.
-        ran_in_step: Good outcomes of the new version since the last step.
-        started_ms: When the trial began.
-        step_ms: When the share last changed.
+        evidence: Tests of the new version against the old one.
+        succeeded_in_step: Successful requests of the new version since the
+            last step.
+        started_ms: Time at which the trial began.
+        last_step_ms: Time of the last change of the share.
     """
 
     def __init__(self, *, old: evidence.Sums, new: evidence.Sums, now_ms: int):
         self.evidence = evidence.Evidence(new=new, old=old)
-        self.ran_in_step = 0
+        self.succeeded_in_step = 0
         self.started_ms = now_ms
-        self.step_ms = now_ms
+        self.last_step_ms = now_ms
 
 
-class Pace(NamedTuple):
-    """How fast a route may take its next step.
+class StepTiming(NamedTuple):
+    """Time limits for the next step of a route.
 
     Attributes:
-        allotted_ms: Time a step has if all are to be done by the deadline.
-        waited_ms: Time since the last step.
-        repeatable: Whether the route may be repeated.
+        allowed_ms: Time per step that lets all steps end by the deadline.
+        elapsed_ms: Time since the last step.
+        repeatable: Whether requests of the route may be repeated.
     """
 
-    allotted_ms: float
-    waited_ms: int
+    allowed_ms: float
+    elapsed_ms: int
     repeatable: bool
 
 
 class Trials:
-    """The leader's volatile evidence on all moves; a new leader starts anew.
+    """Evidence on all moves; kept in memory, so a new leader starts empty.
 
     Attributes:
         routes: Trial by (move, route).
@@ -81,27 +82,27 @@
 def sum_reports(
     reports: dict[str, dict[str, Any]],
 ) -> dict[str, evidence.Sums]:
-    """Adds up the entries' counts by ``upstream|version|route``."""
+    """Sums the entries' counts by ``upstream|version|route``."""
     sums: dict[str, evidence.Sums] = {}
     for report in reports.values():
-        for side, counts in report.get("evidence", {}).items():
+        for key, counts in report.get("evidence", {}).items():
             ran, errors, slow, timed = counts
-            before = sums.get(side, evidence.Sums())
-            sums[side] = evidence.add(before, (ran, errors, timed, slow))
+            previous = sums.get(key, evidence.Sums())
+            sums[key] = evidence.add(previous, (ran, errors, timed, slow))
     return sums
 
 
-def present_versions(
+def usable_versions(
     reports: dict[str, dict[str, Any]],
 ) -> set[tuple[str, str]]:
-    """Returns (upstream, version) of all usable upstreams."""
-    present = set()
+    """Returns (upstream name, version) of all usable upstreams."""
+    versions = set()
     for report in reports.values():
         for row in report.get("upstreams", {}).values():
             name, version, usable = row[0], row[1], row[-1]
             if usable:
-                present.add((name, version))
-    return present
+                versions.add((name, version))
+    return versions
 
 
 def decide(
@@ -110,60 +111,66 @@
     trials: Trials,
     now_ms: int,
 ) -> list[commands.StepMove]:
-    """Returns the steps that are due."""
+    """Returns the steps of all active moves that are due."""
     sums = sum_reports(reports)
-    present = present_versions(reports)
+    available = usable_versions(reports)
     steps = []
     for move, row in tables.moves.items():
         if row.state in moves.LIVE:
-            step = _decide_one(tables, move, row, sums, present, trials, now_ms)
+            step = _decide_step(
+                tables, move, row, sums, available, trials, now_ms
+            )
             if step is not None:
                 steps.append(step)
-    live = {
+    active = {
         move for move, row in tables.moves.items() if row.state in moves.LIVE
     }
-    for key in [key for key in trials.routes if key[0] not in live]:
+    for key in [key for key in trials.routes if key[0] not in active]:
         del trials.routes[key]
     return steps
 
 
-def _decide_one(
+def _decide_step(
     tables: rows.Tables,
     move: str,
     row: rows.MoveRow,
     sums: dict[str, evidence.Sums],
-    present: set[tuple[str, str]],
+    available: set[tuple[str, str]],
     trials: Trials,
     now_ms: int,
 ) -> commands.StepMove | None:
     upstream = inventories.find_upstream(tables.inventory, row.upstream)
     if upstream is None:
         return None
-    fault = _collect(move, row, sums, trials, now_ms)
-    if fault:
-        return _step(move, row, moves.TAKEN_BACK, {}, fault)
+    regression = _update_trials(move, row, sums, trials, now_ms)
+    if regression:
+        return _make_step(move, row, moves.TAKEN_BACK, {}, regression)
     if now_ms >= row.deadline_ms:
         reason = f"deadline passed while {row.state}: {row.reason}"
-        return _step(move, row, moves.TAKEN_BACK, {}, reason)
+        return _make_step(move, row, moves.TAKEN_BACK, {}, reason)
     if row.state == "waiting":
-        if (row.upstream, row.new) in present:
-            return _step(move, row, "growing", row.shares, "instances are up")
+        if (row.upstream, row.new) in available:
+            return _make_step(
+                move, row, "growing", row.shares, "instances are up"
+            )
         return None
     if row.state == "growing":
-        return _grow(upstream, move, row, trials, now_ms)
+        return _raise_shares(upstream, move, row, trials, now_ms)
     if now_ms - row.changed_ms >= upstream["bake_s"] * 1000:
-        return _step(move, row, "done", row.shares, "baked without a fault")
+        return _make_step(
+            move, row, "done", row.shares, "baked without a fault"
+        )
     return None
 
 
-def _collect(
+def _update_trials(
     move: str,
     row: rows.MoveRow,
     sums: dict[str, evidence.Sums],
     trials: Trials,
     now_ms: int,
 ) -> str:
-    """Feeds new outcomes to the tests; returns a fault they prove."""
+    """Updates the tests of a move; returns a detected regression, or empty."""
     for route in row.shares:
         old = sums.get(f"{row.upstream}|{row.old}|{route}", evidence.Sums())
         new = sums.get(f"{row.upstream}|{row.new}|{route}", evidence.Sums())
@@ -171,104 +178,130 @@
         if trial is None:
             trial = RouteTrial(old=old, new=new, now_ms=now_ms)
             trials.routes[move, route] = trial
-        grown = evidence.feed(trial.evidence, new, old)
-        trial.ran_in_step += grown.ran - grown.failed - grown.slow
-        fault = evidence.fault(trial.evidence, LOG_THRESHOLD, f" on {route}")
-        if fault:
-            return fault
+        increase = evidence.update_tests(trial.evidence, new, old)
+        trial.succeeded_in_step += (
+            increase.ran - increase.failed - increase.slow
+        )
+        regression = evidence.find_regression(
+            trial.evidence, LOG_EVIDENCE_THRESHOLD, f" on {route}"
+        )
+        if regression:
+            return regression
     return ""
 
 
-def _grow(
+def _raise_shares(
     upstream: inventories.Upstream,
     move: str,
     row: rows.MoveRow,
     trials: Trials,
     now_ms: int,
 ) -> commands.StepMove | None:
-    """Raises the share of every route that has earned it."""
+    """Raises the share of every route whose next step is due."""
     shares = dict(row.shares)
     routes = inventories.route_names(upstream)
-    eager = [row.shares[name] for name, repeatable in routes if repeatable]
+    repeatable_shares = [
+        row.shares[name] for name, repeatable in routes if repeatable
+    ]
     for name, repeatable in routes:
-        if not repeatable and min(eager, default=1000) < REPEATABLE_FIRST:
+        if (
+            not repeatable
+            and min(repeatable_shares, default=1000)
+            < MIN_REPEATABLE_SHARE_PER_MILLE
+        ):
             continue
-        steps = STEPS if repeatable else CAREFUL_STEPS
+        steps = (
+            REPEATABLE_STEPS_PER_MILLE
+            if repeatable
+            else NON_REPEATABLE_STEPS_PER_MILLE
+        )
         trial = trials.routes[move, name]
-        later = [share for share in steps if share > row.shares[name]]
-        if not later:
+        remaining_steps = [share for share in steps if share > row.shares[name]]
+        if not remaining_steps:
             continue
-        pace = Pace(
-            allotted_ms=_left_ms(upstream, row, now_ms) / (len(later) + 1),
-            waited_ms=now_ms - trial.step_ms,
+        timing = StepTiming(
+            allowed_ms=_growth_time_left_ms(upstream, row, now_ms)
+            / (len(remaining_steps) + 1),
+            elapsed_ms=now_ms - trial.last_step_ms,
             repeatable=repeatable,
         )
         if not row.shares[name]:
-            shares[name] = _first_share(trial, pace, steps, now_ms)
-        elif _earned(trial, pace) or _stays_small(later[0], steps, pace):
-            shares[name] = later[0]
+            shares[name] = _first_share(trial, timing, steps, now_ms)
+        elif _has_sufficient_evidence(
+            trial, timing
+        ) or _may_grow_without_evidence(remaining_steps[0], steps, timing):
+            shares[name] = remaining_steps[0]
     if shares != row.shares:
         for name, share in shares.items():
             if share != row.shares[name]:
-                trials.routes[move, name].ran_in_step = 0
-                trials.routes[move, name].step_ms = now_ms
-        return _step(move, row, "growing", shares, _describe(shares))
-    if all(share == moves.FULL for share in shares.values()):
-        return _step(move, row, "baking", shares, "all traffic on new")
+                trials.routes[move, name].succeeded_in_step = 0
+                trials.routes[move, name].last_step_ms = now_ms
+        return _make_step(move, row, "growing", shares, _format_shares(shares))
+    if all(share == moves.FULL_SHARE_PER_MILLE for share in shares.values()):
+        return _make_step(move, row, "baking", shares, "all traffic on new")
     return None
 
 
-def _left_ms(
+def _growth_time_left_ms(
     upstream: inventories.Upstream, row: rows.MoveRow, now_ms: int
 ) -> int:
-    """Returns the time left to grow in, the bake set apart."""
+    """Returns the time left for growth, without the time of the bake."""
     return max(0, row.deadline_ms - now_ms - upstream["bake_s"] * 1000)
 
 
 def _first_share(
-    trial: RouteTrial, pace: Pace, steps: tuple[int, ...], now_ms: int
+    trial: RouteTrial, timing: StepTiming, steps: tuple[int, ...], now_ms: int
 ) -> int:
-    """Returns the smallest share that brings evidence in its time.
+    """Returns the smallest share expected to give evidence within a step.
 
-    It never exceeds the third step, however quiet the route: a bad version
-    must not get more than a small share before anything is known of it.
+    It never exceeds the third step, however little traffic the route has: a
+    bad version must not get more than a small share before its first outcomes.
     """
-    elapsed_ms = max(1, now_ms - trial.started_ms)
+    observed_ms = max(1, now_ms - trial.started_ms)
     outcomes = trial.evidence.errors.old_ran + trial.evidence.errors.new_ran
-    expected = outcomes / elapsed_ms * pace.allotted_ms
-    small = steps[:SMALL_STEPS]
-    if elapsed_ms < min(OBSERVE_MS, pace.allotted_ms):
-        return 0  # too early to know how busy the route is
+    expected = outcomes / observed_ms * timing.allowed_ms
+    small_steps = steps[:SMALL_STEP_COUNT]
+    if observed_ms < min(OBSERVATION_MS, timing.allowed_ms):
+        return 0  # too early to estimate the traffic
     if not expected:
-        return small[0]
-    needed = MARGIN * LEAST_OUTCOMES / expected * moves.FULL
-    return next((share for share in small if share >= needed), small[-1])
+        return small_steps[0]
+    required_share = (
+        FIRST_SHARE_MARGIN_FACTOR
+        * MIN_OUTCOMES
+        / expected
+        * moves.FULL_SHARE_PER_MILLE
+    )
+    return next(
+        (share for share in small_steps if share >= required_share),
+        small_steps[-1],
+    )
 
 
-def _stays_small(share: int, steps: tuple[int, ...], pace: Pace) -> bool:
-    """Tells whether a share may grow for want of evidence.
+def _may_grow_without_evidence(
+    share: int, steps: tuple[int, ...], timing: StepTiming
+) -> bool:
+    """Returns whether a share may grow although evidence is missing.
 
-    A route that turns out quieter than it looked gets its evidence from a
-    larger share, as long as that is a small one.
+    A route with less traffic than estimated needs a larger share to produce
+    evidence; this is permitted up to the last small share.
     """
-    small = share in steps[:SMALL_STEPS]
-    return small and pace.waited_ms >= pace.allotted_ms
+    is_small = share in steps[:SMALL_STEP_COUNT]
+    return is_small and timing.elapsed_ms >= timing.allowed_ms
 
 
-def _earned(trial: RouteTrial, pace: Pace) -> bool:
-    """Tells whether a route's share may grow by a step.
+def _has_sufficient_evidence(trial: RouteTrial, timing: StepTiming) -> bool:
+    """Returns whether the evidence permits the next step of a route.
 
-    What counts as enough adapts to the traffic: a busy route waits for
-    ``ENOUGH_OUTCOMES``; a quiet one for what its time allows, but never less
-    than ``LEAST_OUTCOMES``. A route that nobody uses grows by time alone:
-    there is nobody to harm.
+    A route may step as soon as it has ``SUFFICIENT_OUTCOMES``, or at the end
+    of the time per step if it has at least ``MIN_OUTCOMES``. A route without
+    traffic steps by time alone, as it affects no caller.
     """
-    factor = 1 if pace.repeatable else CAREFUL_FACTOR
-    if trial.ran_in_step >= ENOUGH_OUTCOMES * factor:
+    factor = 1 if timing.repeatable else NON_REPEATABLE_FACTOR
+    if trial.succeeded_in_step >= SUFFICIENT_OUTCOMES * factor:
         return True
-    if pace.waited_ms < pace.allotted_ms:
+    if timing.elapsed_ms < timing.allowed_ms:
         return False
-    return _is_unused(trial) or trial.ran_in_step >= LEAST_OUTCOMES
+    return _is_unused(trial) or trial.succeeded_in_step >= MIN_OUTCOMES
 
 
 def _is_unused(trial: RouteTrial) -> bool:
@@ -278,11 +311,11 @@
     )
 
 
-def _describe(shares: dict[str, int]) -> str:
+def _format_shares(shares: dict[str, int]) -> str:
     return ", ".join(f"{name} {share}/1000" for name, share in shares.items())
 
 
-def _step(
+def _make_step(
     move: str,
     row: rows.MoveRow,
     state: str,
--- a/src/_arbutuswalk/state/moves.py
+++ b/src/_arbutuswalk/state/moves.py
@@ -1,4 +1,4 @@
-"""Version moves as replicated rows; ``moveplan`` decides their steps."""
+"""Version moves in the replicated tables."""
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
@@ -8,27 +8,27 @@
 LIVE = ("waiting", "growing", "baking")
 TAKEN_BACK = "taken_back"
 SETTLED = "settled"
-"""A taken back move whose revision the operator has since undone."""
-MAX_ENDED = 200
-FULL = 1000
-"""Share in per mille at which all traffic goes to the new version."""
+"""State of a taken back move whose target the operator has since undone."""
+MAX_ENDED_MOVES = 200
+FULL_SHARE_PER_MILLE = 1000
+"""Share at which all traffic goes to the new version."""
 
 
-def on_configuration(tables: rows.Tables) -> None:
-    """Starts, keeps or supersedes moves after a new configuration."""
+def reconcile(tables: rows.Tables) -> None:
+    """Starts, keeps or supersedes moves to match a new configuration."""
     names = set()
     for upstream in tables.inventory["upstreams"]:
         names.add(upstream["name"])
-        _follow_target(tables, upstream)
+        _reconcile_upstream(tables, upstream)
     for name in set(tables.versions) - names:
         del tables.versions[name]
     for move, row in list(tables.moves.items()):
         if row.upstream not in names:
-            _end(tables, move, "superseded", "upstream left the inventory")
+            _end_move(tables, move, "superseded", "upstream left the inventory")
 
 
-def live_move(tables: rows.Tables, upstream: str) -> str:
-    """Returns the id of the upstream's move under way, or empty."""
+def active_move(tables: rows.Tables, upstream: str) -> str:
+    """Returns the id of the upstream's active move, or empty."""
     for move, row in tables.moves.items():
         if row.upstream == upstream and row.state in LIVE:
             return move
@@ -36,7 +36,7 @@
 
 
 def step(tables: rows.Tables, command: commands.StepMove) -> outcomes.Outcome:
-    """Takes one step of a move, unless it was decided on old state."""
+    """Applies one step of a move, unless the decision is stale."""
     row = tables.moves.get(command.move)
     if row is None:
         return outcomes.Absent()
@@ -55,22 +55,28 @@
 
 
 def expire(tables: rows.Tables) -> None:
-    """Keeps a bounded number of ended moves."""
-    ended = [m for m, row in tables.moves.items() if row.state not in LIVE]
-    for move in ended[:-MAX_ENDED]:
+    """Removes the oldest ended moves beyond ``MAX_ENDED_MOVES``."""
+    ended = [
+        move_id
+        for move_id, row in tables.moves.items()
+        if row.state not in LIVE
+    ]
+    for move in ended[:-MAX_ENDED_MOVES]:
         del tables.moves[move]
 
 
-def _follow_target(tables: rows.Tables, upstream: inventories.Upstream) -> None:
+def _reconcile_upstream(
+    tables: rows.Tables, upstream: inventories.Upstream
+) -> None:
     name, target = upstream["name"], upstream["version"]
     current = tables.versions.setdefault(name, target)
-    move = live_move(tables, name)
+    move = active_move(tables, name)
     if move and tables.moves[move].new == target:
         return
     if move:
-        _end(tables, move, "superseded", f"revision {tables.revision}")
+        _end_move(tables, move, "superseded", f"revision {tables.revision}")
     if target == current:
-        _forget_taken_back(tables, name)
+        _settle_taken_back(tables, name)
         return
     if _was_taken_back(tables, name, target):
         return
@@ -92,10 +98,10 @@
 
 
 def _was_taken_back(tables: rows.Tables, upstream: str, version: str) -> bool:
-    """Tells whether this version was taken back and is still asked for.
+    """Returns whether this version was taken back and is still the target.
 
-    An edit elsewhere in the inventory must not start a bad version again. An
-    operator who wants another try sets the old version first.
+    An unrelated change of the inventory must not start a bad version again.
+    To retry it, an operator first sets the old version.
     """
     return any(
         row.upstream == upstream
@@ -105,13 +111,13 @@
     )
 
 
-def _forget_taken_back(tables: rows.Tables, upstream: str) -> None:
+def _settle_taken_back(tables: rows.Tables, upstream: str) -> None:
     for move, row in tables.moves.items():
         if row.upstream == upstream and row.state == TAKEN_BACK:
             tables.moves[move] = row._replace(state=SETTLED)
 
 
-def _end(tables: rows.Tables, move: str, state: str, reason: str) -> None:
+def _end_move(tables: rows.Tables, move: str, state: str, reason: str) -> None:
     row = tables.moves[move]
     if row.state not in LIVE:
         return
--- a/src/_arbutuswalk/state/outcomes.py
+++ b/src/_arbutuswalk/state/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of commands, as dataclasses with a tag in their JSON form."""
+"""Outcomes of commands; their JSON form names the type in ``tag``."""
 
 import dataclasses
 import json
@@ -14,12 +14,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Conflict:
-    """Another operator was first.
+    """The configuration was changed by another operation.
 
     Attributes:
-        revision: Revision in force.
-        operator: Who made it.
-        operation: By which operation.
+        revision: Current revision.
+        operator: Operator who made it.
+        operation: Id of the operation that made it.
     """
 
     revision: int
@@ -29,35 +29,35 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reused:
-    """The id was used before with another body."""
+    """The id was already used with another body."""
 
     what: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Stale:
-    """The command speaks of something that has moved on."""
+    """The command refers to state that has changed since."""
 
     what: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Granted:
-    """The caller of this attempt, and no other, may send the call."""
+    """This attempt alone may proceed: send the call or use the upstream."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallState:
-    """The call was begun before.
+    """The call was begun by an earlier attempt.
 
     Attributes:
         state: ``running``, ``done`` or ``unknown``.
-        entry: Entry that runs or ran it.
-        upstream: Upstream that runs or ran it.
-        route: Route's name.
-        status: HTTP status of the answer when done.
-        content_type: Its content type.
-        body: Its body, in base 64.
+        entry: Entry that sent it.
+        upstream: Upstream that it was sent to.
+        route: Name of the route.
+        status: HTTP status of the response if done.
+        content_type: Content type of the response.
+        body: Body of the response, in base 64.
     """
 
     state: str
@@ -71,12 +71,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Absent:
-    """There is no such record."""
+    """The record does not exist."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Occupied:
-    """The upstream is reserved for another suspect."""
+    """The upstream or the suspect is already part of another reservation."""
 
     fingerprint: str
 
@@ -101,9 +101,9 @@
     | Convicted
 )
 
-_TYPES = {
-    kind.__name__: kind
-    for kind in (
+_OUTCOME_TYPES = {
+    outcome_type.__name__: outcome_type
+    for outcome_type in (
         Accepted,
         Conflict,
         Reused,
@@ -128,6 +128,6 @@
 
 
 def decode(data: bytes | dict[str, Any]) -> Outcome:
-    """Parses ``encode``'s or ``to_json``'s result."""
+    """Parses the result of ``encode`` or ``to_json``."""
     fields = dict(data) if isinstance(data, dict) else json.loads(data)
-    return _TYPES[fields.pop("tag")](**fields)
+    return _OUTCOME_TYPES[fields.pop("tag")](**fields)
--- a/src/_arbutuswalk/state/published.py
+++ b/src/_arbutuswalk/state/published.py
@@ -1,4 +1,4 @@
-"""Publishing configurations of routes: the highest version wins."""
+"""Publication of route configurations: the highest version wins."""
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import outcomes
@@ -8,10 +8,10 @@
 def publish(
     tables: rows.Tables, command: commands.PublishRoutes
 ) -> outcomes.Outcome:
-    """Makes a configuration the current one if its version is higher.
+    """Replaces the current configuration if the new version is higher.
 
-    A resend, or a version that was overtaken, changes nothing and is
-    accepted all the same; the outcome names the version in force.
+    A resend or an older version changes nothing but is accepted as well; the
+    outcome contains the current version.
     """
     if command.version > tables.routes_version:
         tables.routes_version = command.version
--- a/src/_arbutuswalk/state/rolloutplan.py
+++ b/src/_arbutuswalk/state/rolloutplan.py
@@ -1,9 +1,9 @@
-"""Decides the steps of a rollout from what entries report.
+"""Decides the steps of a rollout from the entries' reports.
 
-The share of the new version grows in steps over the time that the operator
-gave, each after the one before showed no fault. A version is reverted as soon
-as the evidence against it suffices, by failures or by slowness, or when there
-is none for it at the end.
+The traffic share of the new version grows in steps over the duration that the
+operator set, as long as no step shows a regression. A version is reverted as
+soon as the evidence of failures or slowness reaches a threshold, or if there
+is no evidence for it at the end.
 """
 
 import math
@@ -13,30 +13,32 @@
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import tables as rows
 
-LOG_THRESHOLD = math.log(300)
-"""Evidence at which a version is reverted: by each of the two tests one good
-version in 300 is."""
-LEAST_OUTCOMES = 3
-"""Requests that have to have run well before a version is completed."""
-STEP_S = 0.7
-"""Shortest time for a step: reports and shares travel for half a second."""
-CANARY_PART = 0.6
-"""Part of the permitted exposure that the first step uses."""
-STEPS = ((0.0, None), (0.5, 200), (0.6, 500), (0.7, 1000))
-"""Part of the time from which a share, in per mille, may be given; the first
-share follows from the permitted exposure."""
-COMPLETE_AT = 0.85
-"""Part of the time at which a version that has it all is completed."""
-PER_MILLE = 1000
+LOG_EVIDENCE_THRESHOLD = math.log(300)
+"""Log evidence at which a version is reverted. Each of the two tests reverts
+at most one good version in 300."""
+MIN_OUTCOMES = 3
+"""Requests of the new version required before it is completed."""
+MIN_STEP_INTERVAL_S = 0.7
+"""Minimum time between steps: reports and shares take half a second to
+propagate."""
+FIRST_SHARE_CANARY_FRACTION = 0.6
+"""Fraction of the permitted canary share that the first step uses."""
+SHARE_SCHEDULE = ((0.0, None), (0.5, 200), (0.6, 500), (0.7, 1000))
+"""Fraction of the duration from which a share, in per mille, is permitted. The
+first share, None, is derived from the permitted canary share."""
+COMPLETION_FRACTION = 0.85
+"""Fraction of the duration from which a version with all traffic is
+completed."""
+FULL_SHARE_PER_MILLE = 1000
 
 
 class Trial:
     """Evidence on one rollout.
 
     Attributes:
-        evidence: Outcomes of both versions.
-        began_at: When the rollout began, in the holder's seconds.
-        stepped_at: When its share last changed.
+        evidence: Tests of the new version against the old one.
+        began_at: Start of the rollout on the local clock, in seconds.
+        last_step_at: Time of the last change of the share, in seconds.
     """
 
     def __init__(
@@ -44,7 +46,7 @@
     ):
         self.evidence = evidence.Evidence(new=new, old=old)
         self.began_at = began_at
-        self.stepped_at = began_at
+        self.last_step_at = began_at
 
 
 def decide(
@@ -61,58 +63,83 @@
     """Returns the step that is due, if one is.
 
     Args:
-        upstream: Upstream that is rolled out.
-        row: The rollout as it stands.
-        trial: Evidence so far, which takes up the new outcomes.
-        new: Sums of the new version.
-        old: Sums of all other versions.
+        upstream: Upstream of the rollout.
+        row: Current state of the rollout.
+        trial: Evidence so far; updated with the new counts.
+        new: Counts of the new version.
+        old: Counts of all other versions.
         present: Whether endpoints of the new version serve.
-        canary_share: Part of all requests that a bad version may get.
-        now: Seconds.
+        canary_share: Fraction of all requests that a bad version may get.
+        now: Current time in seconds.
     """
-    evidence.feed(trial.evidence, new, old)
-    fault = evidence.fault(trial.evidence, LOG_THRESHOLD)
-    if fault:
-        return _step(upstream, row, rollouts.REVERTED, 0, fault)
-    passed = (now - trial.began_at) / max(0.001, row.duration_ms / 1000)
-    if passed >= 1.0:
-        return _at_the_end(upstream, row, trial)
-    if not present or now - trial.stepped_at < STEP_S:
+    evidence.update_tests(trial.evidence, new, old)
+    regression = evidence.find_regression(
+        trial.evidence, LOG_EVIDENCE_THRESHOLD
+    )
+    if regression:
+        return _make_step(upstream, row, rollouts.REVERTED, 0, regression)
+    elapsed_fraction = (now - trial.began_at) / max(
+        0.001, row.duration_ms / 1000
+    )
+    if elapsed_fraction >= 1.0:
+        return _final_step(upstream, row, trial)
+    if not present or now - trial.last_step_at < MIN_STEP_INTERVAL_S:
         return None
-    share = _share_at(passed, canary_share, row.share)
+    share = _scheduled_share(elapsed_fraction, canary_share, row.share)
     if share > row.share:
-        trial.stepped_at = now
+        trial.last_step_at = now
         reason = f"{trial.evidence.errors.new_ran} ran without a fault"
-        return _step(upstream, row, rollouts.GROWING, share, reason)
-    enough = trial.evidence.errors.new_ran >= LEAST_OUTCOMES
-    if row.share == PER_MILLE and passed >= COMPLETE_AT and enough:
-        return _step(upstream, row, rollouts.COMPLETED, PER_MILLE, "it has all")
+        return _make_step(upstream, row, rollouts.GROWING, share, reason)
+    has_enough_outcomes = trial.evidence.errors.new_ran >= MIN_OUTCOMES
+    if (
+        row.share == FULL_SHARE_PER_MILLE
+        and elapsed_fraction >= COMPLETION_FRACTION
+        and has_enough_outcomes
+    ):
+        return _make_step(
+            upstream,
+            row,
+            rollouts.COMPLETED,
+            FULL_SHARE_PER_MILLE,
+            "it has all",
+        )
     return None
 
 
-def _share_at(passed: float, canary_share: float, current: int) -> int:
-    """Returns the next share that the time permits, one step at a time."""
-    first = max(1, int(canary_share * CANARY_PART * PER_MILLE))
-    for begins, share in STEPS:
-        wanted = share or first
-        if wanted > current:
-            return wanted if passed >= begins else current
+def _scheduled_share(
+    elapsed_fraction: float, canary_share: float, current: int
+) -> int:
+    """Returns the next share if its time has come, else the current one."""
+    first_share = max(
+        1,
+        int(canary_share * FIRST_SHARE_CANARY_FRACTION * FULL_SHARE_PER_MILLE),
+    )
+    for start_fraction, share in SHARE_SCHEDULE:
+        next_share = share or first_share
+        if next_share > current:
+            return next_share if elapsed_fraction >= start_fraction else current
     return current
 
 
-def _at_the_end(
+def _final_step(
     upstream: str, row: rows.RolloutRow, trial: Trial
 ) -> commands.StepRollout:
     if (
-        row.share == PER_MILLE
-        and trial.evidence.errors.new_ran >= LEAST_OUTCOMES
+        row.share == FULL_SHARE_PER_MILLE
+        and trial.evidence.errors.new_ran >= MIN_OUTCOMES
     ):
-        return _step(upstream, row, rollouts.COMPLETED, PER_MILLE, "time is up")
+        return _make_step(
+            upstream,
+            row,
+            rollouts.COMPLETED,
+            FULL_SHARE_PER_MILLE,
+            "time is up",
+        )
     reason = f"time is up at {row.share} per mille"
-    return _step(upstream, row, rollouts.REVERTED, 0, reason)
+    return _make_step(upstream, row, rollouts.REVERTED, 0, reason)
 
 
-def _step(
+def _make_step(
     upstream: str, row: rows.RolloutRow, state: str, share: int, reason: str
 ) -> commands.StepRollout:
     return commands.StepRollout(
--- a/src/_arbutuswalk/state/rollouts.py
+++ b/src/_arbutuswalk/state/rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts of an upstream's version: begun by operators, stepped by control."""
+"""Rollouts in the replicated tables: begun by operators, stepped by control."""
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import outcomes
@@ -7,23 +7,23 @@
 GROWING = "growing"
 COMPLETED = "completed"
 REVERTED = "reverted"
-RESEND_MS = 10_000
-"""Time after a rollout's end in which the same order is taken for a resend:
-operators resend for four seconds at most."""
+RESEND_WINDOW_MS = 10_000
+"""Time after the end of a rollout in which the same request counts as a resend;
+operators resend for at most four seconds."""
 
 
 def begin(
     tables: rows.Tables, command: commands.BeginRollout
 ) -> outcomes.Outcome:
-    """Begins a rollout, unless the same one is known already.
+    """Begins a rollout unless the request is a resend.
 
-    A resend finds the rollout that the first copy began. Another target for
-    the same upstream replaces what was there.
+    A resend leaves the existing rollout unchanged. Another target for the same
+    upstream replaces the existing rollout.
     """
-    known = tables.rollouts.get(command.upstream)
-    if known is not None and known.target == command.target:
-        ended_ms = tables.time_ms - known.changed_ms
-        if known.state == GROWING or ended_ms < RESEND_MS:
+    previous = tables.rollouts.get(command.upstream)
+    if previous is not None and previous.target == command.target:
+        since_change_ms = tables.time_ms - previous.changed_ms
+        if previous.state == GROWING or since_change_ms < RESEND_WINDOW_MS:
             return outcomes.Accepted()
     tables.rollouts[command.upstream] = rows.RolloutRow(
         target=command.target,
@@ -41,7 +41,7 @@
 def step(
     tables: rows.Tables, command: commands.StepRollout
 ) -> outcomes.Outcome:
-    """Changes state and share, if the decision is not stale."""
+    """Updates state and share unless the decision is stale."""
     row = tables.rollouts.get(command.upstream)
     if row is None or row.state != GROWING:
         return outcomes.Stale(what="rollout is not under way")
--- a/src/_arbutuswalk/state/routeconfig.py
+++ b/src/_arbutuswalk/state/routeconfig.py
@@ -1,8 +1,8 @@
-"""A configuration of routes: where requests go and who may send them.
+"""Route configuration: routes, upstreams, workspaces and limits.
 
-Beside the inventory, which operators change by compare-and-set, stands this
-configuration, of which the highest version wins. It arrives decoded; the
-functions here decide whether it is valid.
+It is separate from the inventory: the inventory is changed by compare-and-set,
+while the route configuration with the highest version wins. This module
+validates decoded configurations and converts them to and from JSON.
 """
 
 from typing import Any
@@ -13,34 +13,34 @@
 ONCE = "once"
 """Kind of a route whose requests may run at most once."""
 STREAM = "stream"
-"""Kind of a route whose answers are event streams."""
-KINDS = (IDEMPOTENT, ONCE, STREAM)
+"""Kind of a route whose responses are event streams."""
+ROUTE_KINDS = (IDEMPOTENT, ONCE, STREAM)
 
 
 class Target(NamedTuple):
-    """One upstream of a route and its part of the traffic."""
+    """One upstream of a route and its traffic weight."""
 
     upstream: str
     weight: int
 
 
 class Route(NamedTuple):
-    """Requests for one host and path prefix.
+    """Routing of the requests for one host and path prefix.
 
     Attributes:
         name: Unique name.
-        host: Host header, lower case.
+        host: Value of the Host header in lower case.
         prefix: Path prefix, with a slash at both ends.
         kind: One of ``KINDS``.
-        timeout_s: Longest time that a caller is kept waiting.
-        objective_s: Time within which an answer is on time.
-        priority: Rank, 0 first.
+        timeout_s: Maximum time until the response.
+        objective_s: Latency objective of a response.
+        priority: Priority; 0 is the highest.
         targets: Upstreams and their weights.
-        max_attempts: Endpoints on which one request may run.
-        anonymous: Whether callers need no key.
-        affinity: Whether requests describe their prompts.
-        resumable: Whether a stream may be continued on another endpoint.
-        gap_s: Longest pause between events that is on time, 0 if none is set.
+        max_attempts: Maximum endpoints that one request is sent to.
+        anonymous: Whether callers may omit the API key.
+        affinity: Whether requests carry descriptions of their prompts.
+        resumable: Whether a stream may be resumed on another endpoint.
+        gap_s: Objective for the pause between events, 0 for none.
     """
 
     name: str
@@ -59,16 +59,17 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run on a second endpoint after the first."""
+        """Whether a request may be repeated on another endpoint."""
         return self.kind == IDEMPOTENT or self.resumable
 
 
 class Engine(NamedTuple):
-    """What is known of the model engines of an upstream.
+    """Capacity of each model engine of an upstream.
 
     Attributes:
-        slots: Requests in one batch.
-        cache_tokens: Tokens that running requests and cached parts share.
+        slots: Maximum requests in one batch.
+        cache_tokens: Cache size in tokens, shared by running requests and
+            cached prefixes.
     """
 
     slots: int
@@ -76,15 +77,15 @@
 
 
 class Scaling(NamedTuple):
-    """Bounds and prices of ordered endpoints.
+    """Scaling bounds and endpoint prices of an upstream.
 
     Attributes:
-        minimum: Fewest endpoints in a failure domain.
-        maximum: Most endpoints in a failure domain.
+        minimum: Minimum endpoints in a failure domain.
+        maximum: Maximum endpoints in a failure domain.
         boot_s: Seconds until a new endpoint serves.
-        reclaimable_price: Price of a reclaimable endpoint as a part of the
-            price of another, 0 if there are none.
-        prices: Price of an endpoint by failure domain.
+        reclaimable_price: Price of a reclaimable endpoint as a fraction of
+            the on-demand price, 0 if there are none.
+        prices: On-demand price of an endpoint by failure domain.
     """
 
     minimum: int
@@ -98,7 +99,7 @@
     """A named group of endpoints.
 
     Attributes:
-        connection_limit: Connections an endpoint accepts from all callers.
+        connection_limit: Maximum connections to one endpoint from all callers.
     """
 
     name: str
@@ -108,13 +109,13 @@
 
 
 class Workspace(NamedTuple):
-    """A workspace: its keys, rank and quota.
+    """A workspace: its API keys, priority and quota.
 
     Attributes:
-        priority: Rank that goes before the route's, or None.
+        priority: Priority that overrides the route's, or None.
         by_tokens: Whether the quota counts tokens instead of requests.
-        default_tokens: What a request without token counts counts as.
-        rate_per_s: Quota a second, 0 for none.
+        default_tokens: Cost of a request that states no token count.
+        rate_per_s: Quota per second, 0 for no quota.
         burst: Quota that may be used at once.
     """
 
@@ -128,14 +129,14 @@
 
 
 class Limits(NamedTuple):
-    """Bounds on what callers send; 0 for none."""
+    """Limits on callers' requests and connections; 0 for none."""
 
     max_body_bytes: int
     idle_timeout_s: float
 
 
 class RouteConfig(NamedTuple):
-    """The whole configuration of one version."""
+    """A complete route configuration of one version."""
 
     version: int
     routes: tuple[Route, ...]
@@ -145,66 +146,68 @@
 
 
 def check(config: RouteConfig) -> list[str]:
-    """Returns every reason why ``config`` is not valid."""
+    """Returns all problems of ``config``; empty if it is valid."""
     problems = []
-    names = {upstream.name for upstream in config.upstreams}
-    if len(names) != len(config.upstreams):
+    upstream_names = {upstream.name for upstream in config.upstreams}
+    if len(upstream_names) != len(config.upstreams):
         problems.append("two upstreams share a name")
-    places = set()
+    taken_prefixes = set()
     for route in config.routes:
-        problems += _check_route(route, names)
-        place = (route.host, route.prefix)
-        if place in places:
-            problems.append(f"route {route.name}: place is taken: {place}")
-        places.add(place)
+        problems += _check_route(route, upstream_names)
+        host_and_prefix = (route.host, route.prefix)
+        if host_and_prefix in taken_prefixes:
+            problems.append(
+                f"route {route.name}: place is taken: {host_and_prefix}"
+            )
+        taken_prefixes.add(host_and_prefix)
     return problems + _check_workspaces(config.workspaces)
 
 
-def _check_route(route: Route, names: set[str]) -> list[str]:
-    where = f"route {route.name}"
+def _check_route(route: Route, upstream_names: set[str]) -> list[str]:
+    location = f"route {route.name}"
     problems = []
-    if route.kind not in KINDS:
-        problems.append(f"{where}: unknown kind {route.kind!r}")
+    if route.kind not in ROUTE_KINDS:
+        problems.append(f"{location}: unknown kind {route.kind!r}")
     if route.timeout_s <= 0:
-        problems.append(f"{where}: time-out must be above 0")
+        problems.append(f"{location}: time-out must be above 0")
     if any(target.weight < 0 for target in route.targets):
-        problems.append(f"{where}: negative weight")
+        problems.append(f"{location}: negative weight")
     if sum(target.weight for target in route.targets) <= 0:
-        problems.append(f"{where}: weights add up to 0")
+        problems.append(f"{location}: weights add up to 0")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
-        problems.append(f"{where}: prefix {route.prefix!r} needs slashes")
+        problems.append(f"{location}: prefix {route.prefix!r} needs slashes")
     problems += [
-        f"{where}: unknown upstream {target.upstream!r}"
+        f"{location}: unknown upstream {target.upstream!r}"
         for target in route.targets
-        if target.upstream not in names
+        if target.upstream not in upstream_names
     ]
     return problems
 
 
 def _check_workspaces(workspaces: tuple[Workspace, ...]) -> list[str]:
     problems = []
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for workspace in workspaces:
         for key in workspace.keys:
-            holder = holders.setdefault(key, workspace.name)
-            if holder != workspace.name:
+            owner = owners.setdefault(key, workspace.name)
+            if owner != workspace.name:
                 problems.append(
-                    f"workspaces {holder} and {workspace.name} share a key"
+                    f"workspaces {owner} and {workspace.name} share a key"
                 )
     return problems
 
 
 def to_json(config: RouteConfig) -> dict[str, Any]:
-    """Returns JSON values; named tuples become lists."""
+    """Returns JSON values; encoding turns named tuples into lists."""
     return config._asdict()
 
 
 def from_json(values: dict[str, Any]) -> RouteConfig:
-    """Parses ``to_json``'s result after a round trip through JSON."""
+    """Parses the result of ``to_json`` after JSON decoding."""
     return RouteConfig(
         version=values["version"],
-        routes=tuple(map(_route, values["routes"])),
-        upstreams=tuple(map(_upstream, values["upstreams"])),
+        routes=tuple(map(_parse_route, values["routes"])),
+        upstreams=tuple(map(_parse_upstream, values["upstreams"])),
         workspaces=tuple(
             Workspace(name, tuple(keys), *rest)
             for name, keys, *rest in values["workspaces"]
@@ -213,17 +216,17 @@
     )
 
 
-def _route(fields: list[Any]) -> Route:
+def _parse_route(fields: list[Any]) -> Route:
     route = Route(*fields)
     targets = tuple(Target(*target) for target in route.targets)
     return route._replace(targets=targets)
 
 
-def _upstream(fields: list[Any]) -> Upstream:
-    name, limit, engine, scaling = fields
+def _parse_upstream(fields: list[Any]) -> Upstream:
+    name, connection_limit, engine, scaling = fields
     return Upstream(
         name,
-        limit,
+        connection_limit,
         Engine(*engine) if engine else None,
         Scaling(*scaling) if scaling else None,
     )
--- a/src/_arbutuswalk/state/tables.py
+++ b/src/_arbutuswalk/state/tables.py
@@ -5,7 +5,7 @@
 
 
 class Operation(NamedTuple):
-    """An operator's finished operation, kept to answer resends."""
+    """A completed operation, kept to answer resends."""
 
     digest: str
     outcome: dict[str, Any]
@@ -13,7 +13,7 @@
 
 
 class Revision(NamedTuple):
-    """One accepted configuration in the history."""
+    """One accepted revision of the configuration."""
 
     revision: int
     operation: str
@@ -22,7 +22,7 @@
 
 
 class EntryRow(NamedTuple):
-    """An entry process known to the system."""
+    """A registered entry process."""
 
     incarnation: int
     address: str
@@ -55,18 +55,18 @@
 
 
 class SuspectRow(NamedTuple):
-    """A request that was running where an upstream died."""
+    """A request that was running on an upstream when it died."""
 
     deaths: int
     at_ms: int
 
 
 class IsolationRow(NamedTuple):
-    """An upstream reserved for one suspect.
+    """The reservation of an upstream for one suspect.
 
     Attributes:
-        fingerprint: The suspect.
-        entry: Entry that runs it.
+        fingerprint: Fingerprint of the suspect.
+        entry: Entry that sends it.
         index: Log index of the reservation.
     """
 
@@ -76,12 +76,13 @@
 
 
 class DeathRow(NamedTuple):
-    """An unannounced death.
+    """An unannounced death of an upstream.
 
     Attributes:
         at_ms: Log time of the first report.
-        blamed: Fingerprint convicted for it, or empty.
-        waiting: Requests that become suspects if the isolated one is cleared.
+        blamed: Fingerprint of the convicted request, or empty.
+        waiting: Requests that become suspects if the reservation ends without
+            a conviction.
     """
 
     at_ms: int
@@ -94,10 +95,10 @@
 
     Attributes:
         state: ``waiting``, ``growing``, ``baking``, ``done``,
-            ``taken_back``, ``superseded`` or ``settled``, which is a taken
-            back move whose revision the operator has since undone.
-        shares: Per mille of new-version traffic by route.
-        step: Counts the changes of this row.
+            ``taken_back``, ``superseded`` or ``settled``: a taken back move
+            whose target the operator has since undone.
+        shares: Traffic share of the new version by route, in per mille.
+        step: Number of changes of this row.
     """
 
     upstream: str
@@ -114,7 +115,7 @@
 
 
 class InstanceRow(NamedTuple):
-    """An instance that the fleet ordered."""
+    """An instance ordered from the platform."""
 
     upstream: str
     version: str
@@ -142,8 +143,8 @@
 
     Attributes:
         state: ``growing``, ``completed`` or ``reverted``.
-        share: Per mille of the traffic that the new version gets.
-        step: Counts the changes of this row.
+        share: Traffic share of the new version in per mille.
+        step: Number of changes of this row.
     """
 
     target: str
@@ -157,36 +158,37 @@
 
 
 class Tables:
-    """Every replicated table; each log entry changes all of them at once.
+    """All replicated tables; each log entry is applied to them atomically.
 
     Attributes:
-        time_ms: Log time, which never goes back.
+        time_ms: Log time, which never decreases.
         revision: Revision of the configuration.
         inventory: The configuration, None before the first.
         operations: Operations by id.
         history: Accepted configurations, oldest first.
-        versions: Version in full use by upstream name.
+        versions: Current version by upstream name, excluding active moves.
         entries: Entries by id.
         calls: Non-repeatable calls by ``workspace`` + newline + ``key``.
         withdrawn: Log time at which an attempt was withdrawn, by attempt.
         suspects: Suspect requests by fingerprint.
-        isolations: Suspect that an upstream is reserved for, by upstream id.
-        convicted: Log time until which a fingerprint is refused.
+        isolations: Reservations by upstream id.
+        convicted: Log time until which a request is refused, by fingerprint.
         deaths: Unannounced deaths by upstream id + ``/`` + incarnation.
         moves: Moves by id.
         instances: Instances by id.
-        leaving: Reclaimed instances: (log time of the notice, its seconds).
+        leaving: Reclaimed instances: [log time of the notice, seconds of
+            notice] by instance id.
         orders: Orders by id.
         charges: Micro-units by account.
-        billed_micro: Sum of all bills.
+        billed_micro: Sum of all bills in micro-units.
         intervals: Number of the last settled interval.
         highest_fence: Highest fence of any order.
-        routes_version: Version of the configuration of routes, 0 for none.
-        routes: That configuration as JSON values.
-        routes_source: What the operator sent for it, deflated, in base 64.
-        rollouts: Rollout by upstream name.
-        usage: Settled counts by workspace, by number of the window.
-        expired_ms: Log time at which records were last expired.
+        routes_version: Version of the route configuration, 0 for none.
+        routes: Route configuration as JSON values.
+        routes_source: The operator's original input, deflated and in base 64.
+        rollouts: Rollouts by upstream name.
+        usage: Settled counts by window number and workspace.
+        expired_ms: Log time of the last removal of expired records.
         changed: Log index of the last change of each part of the view.
         applied: Index of the last log entry applied.
     """
--- a/src/_arbutuswalk/state/view.py
+++ b/src/_arbutuswalk/state/view.py
@@ -1,7 +1,7 @@
-"""The parts of the state that every entry follows.
+"""View: the parts of the replicated state that are sent to every entry.
 
-Each part has a version, the log index of its last change, so that an entry is
-sent only the parts that changed since the version it has.
+The version of a part is the log index of its last change; an entry is sent
+only the parts that changed after the version it has.
 """
 
 from typing import Any
@@ -29,25 +29,25 @@
 
 
 def version(tables: rows.Tables) -> int:
-    """Returns the version of the newest part."""
+    """Returns the highest version of all parts."""
     return max(tables.changed.values(), default=0)
 
 
-def parts_since(tables: rows.Tables, known: int) -> dict[str, Any]:
-    """Returns the parts that changed after version ``known``."""
+def parts_since(tables: rows.Tables, known_version: int) -> dict[str, Any]:
+    """Returns the parts that changed after ``known_version``."""
     return {
-        part: _MAKERS[part](tables)
-        for part, changed in tables.changed.items()
-        if changed > known
+        part: _PART_BUILDERS[part](tables)
+        for part, part_version in tables.changed.items()
+        if part_version > known_version
     }
 
 
-def _configuration(tables: rows.Tables) -> dict[str, Any]:
+def _build_configuration(tables: rows.Tables) -> dict[str, Any]:
     return {"revision": tables.revision, "inventory": tables.inventory}
 
 
-def _moves(tables: rows.Tables) -> dict[str, Any]:
-    live = {
+def _build_moves(tables: rows.Tables) -> dict[str, Any]:
+    active_moves = {
         move: row._asdict()
         for move, row in tables.moves.items()
         if row.state in moves.LIVE
@@ -59,12 +59,12 @@
     ]
     return {
         "versions": dict(tables.versions),
-        "live": live,
+        "live": active_moves,
         "taken_back": taken_back,
     }
 
 
-def _entries(tables: rows.Tables) -> dict[str, Any]:
+def _build_entries(tables: rows.Tables) -> dict[str, Any]:
     return {
         entry: row._asdict()
         for entry, row in tables.entries.items()
@@ -72,7 +72,7 @@
     }
 
 
-def _quarantine(tables: rows.Tables) -> dict[str, Any]:
+def _build_quarantine(tables: rows.Tables) -> dict[str, Any]:
     return {
         "suspects": list(tables.suspects),
         "convicted": dict(tables.convicted),
@@ -83,14 +83,17 @@
     }
 
 
-def _leaving(tables: rows.Tables) -> dict[str, float]:
-    return {name: in_s for name, (_, in_s) in tables.leaving.items()}
+def _build_leaving(tables: rows.Tables) -> dict[str, float]:
+    return {
+        instance: leave_in_s
+        for instance, (_, leave_in_s) in tables.leaving.items()
+    }
 
 
-_MAKERS = {
-    CONFIGURATION: _configuration,
-    MOVES: _moves,
-    ENTRIES: _entries,
-    QUARANTINE: _quarantine,
-    LEAVING: _leaving,
+_PART_BUILDERS = {
+    CONFIGURATION: _build_configuration,
+    MOVES: _build_moves,
+    ENTRIES: _build_entries,
+    QUARANTINE: _build_quarantine,
+    LEAVING: _build_leaving,
 }
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -1,4 +1,4 @@
-"""Placing, numbers of endpoints, rollouts and final answers, without I/O."""
+"""Endpoint choice, health, scaling, rollouts and retries, without I/O."""
 
 import random
 
@@ -35,8 +35,8 @@
     ]
 
 
-class TestPlacing:
-    def test_requests_that_share_parts_meet(self):
+class TestEndpointChoice:
+    def test_requests_that_share_a_prefix_go_to_one_endpoint(self):
         work = endpoints.Work(5000, (("wide", 2000), ("narrow", 2500)))
         chosen = {
             endpoints.choose(
@@ -46,7 +46,7 @@
         }
         assert len(chosen) == 1
 
-    def test_a_crowded_endpoint_is_left(self):
+    def test_an_overloaded_endpoint_is_avoided(self):
         work = endpoints.Work(5000, (("wide", 2000), ("narrow", 2500)))
         candidates = make_candidates(9)
         first = endpoints.choose(candidates, work, (), (0.1, 0.9))
@@ -59,7 +59,7 @@
         assert second.id != first.id
         assert second.tokens == 3000
 
-    def test_one_that_got_the_part_lately_need_not_read_it_again(self):
+    def test_an_endpoint_that_recently_got_a_prefix_is_preferred(self):
         work = endpoints.Work(5000, (("narrow", 4500),))
         candidates = make_candidates(3)
         first = endpoints.choose(candidates, work, (), (0.1, 0.9))
@@ -77,15 +77,15 @@
         assert endpoints.choose([doubtful], None, (), (0.1, 0.1))
         assert endpoints.choose([], None, (), (0.1, 0.1)) is None
 
-    def test_plain_requests_go_where_the_fewest_wait(self):
+    def test_plain_requests_go_to_the_endpoint_with_the_most_free_slots(self):
         candidates = [
             each._replace(running=running, slots=6)
             for each, running in zip(make_candidates(3), (4, 1, 3), strict=True)
         ]
         assert endpoints.choose(candidates, None, (), (0.5, 0.5)).id == "e1"
 
-    def test_a_hot_part_is_spread_over_more_endpoints(self):
-        """Every request shares one part; ours beside always-the-first."""
+    def test_a_popular_prefix_is_spread_over_more_endpoints(self):
+        """A prefix that all requests share must not overload one endpoint."""
         rng = random.Random(7)
         work = endpoints.Work(4000, (("hot", 3000),))
         loads = {f"e{i}": 0 for i in range(9)}
@@ -100,220 +100,251 @@
         mean = sum(loads.values()) / len(loads)
         assert max(loads.values()) < 2.5 * mean
 
-    def test_what_was_sent_long_ago_is_forgotten(self):
-        found = recent.Recent()
-        found.note("p", "e1", 0.0)
-        assert found.holders("p", recent.KEPT_S) == {"e1"}
-        assert found.holders("p", recent.KEPT_S + 0.1) == set()
+    def test_old_placements_expire(self):
+        recent_placements = recent.Recent()
+        recent_placements.note("p", "e1", 0.0)
+        assert recent_placements.holders("p", recent.KEPT_S) == {"e1"}
+        assert recent_placements.holders("p", recent.KEPT_S + 0.1) == set()
 
 
 class TestHealth:
-    def play(self, rates, seed, requests=400):
-        """Sends requests where nothing doubtful is; returns the failures."""
+    def simulate(self, rates, seed, requests=400):
+        """Avoids doubtful endpoints; returns the failure rate."""
         rng = random.Random(seed)
-        known = health.Health()
-        names = sorted(rates)
+        endpoint_health = health.Health()
+        endpoint_names = sorted(rates)
         failed = 0
-        for number in range(requests):
-            now = number * 0.05
-            doubtful = known.doubtful(names, now)
-            usable = [n for n in names if n not in doubtful] or names
-            name = rng.choice(usable)
+        for request_number in range(requests):
+            now = request_number * 0.05
+            doubtful = endpoint_health.doubtful(endpoint_names, now)
+            candidates = [
+                other for other in endpoint_names if other not in doubtful
+            ] or endpoint_names
+            name = rng.choice(candidates)
             fails = rng.random() < rates[name]
             failed += fails
-            known.note(name, failed=fails, now=now)
+            endpoint_health.note(name, failed=fails, now=now)
         return failed / requests
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_a_grey_endpoint_gets_less(self, seed):
+    def test_a_partly_failing_endpoint_gets_fewer_requests(self, seed):
         rates = {"a": 0.0, "b": 0.0, "c": 0.6}
-        assert self.play(rates, seed) < 0.6 / 3 * 0.75
+        assert self.simulate(rates, seed) < 0.6 / 3 * 0.75
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_failures_that_all_share_make_none_doubtful_for_long(self, seed):
+    def test_failures_of_all_endpoints_make_none_doubtful_for_long(self, seed):
         rng = random.Random(seed)
-        known = health.Health()
-        doubted = 0
+        endpoint_health = health.Health()
+        doubtful_count = 0
         for number in range(600):
             now = number * 0.05
             name = rng.choice("abc")
-            known.note(name, failed=rng.random() < 0.14, now=now)
-            doubted += len(known.doubtful(["a", "b", "c"], now))
-        assert doubted / 600 < 0.5
+            endpoint_health.note(name, failed=rng.random() < 0.14, now=now)
+            doubtful_count += len(
+                endpoint_health.doubtful(["a", "b", "c"], now)
+            )
+        assert doubtful_count / 600 < 0.5
 
-    def test_what_is_known_fades(self):
-        known = health.Health()
+    def test_old_failures_expire(self):
+        endpoint_health = health.Health()
         for _ in range(20):
-            known.note("a", failed=True, now=0.0)
-        assert known.doubtful(["a", "b"], 1.0) == {"a"}
-        assert known.doubtful(["a", "b"], 10.0) == set()
+            endpoint_health.note("a", failed=True, now=0.0)
+        assert endpoint_health.doubtful(["a", "b"], 1.0) == {"a"}
+        assert endpoint_health.doubtful(["a", "b"], 10.0) == set()
 
 
-class FleetWorld:
-    """A platform that starts endpoints after a while and takes them back."""
+class FleetSimulation:
+    """Simulates a platform with start-up delays, reclaims and shortages."""
 
     def __init__(self, ready):
         self.fleet = fleetplan.Fleet()
         self.ready = dict(ready)
-        self.booting = []
-        self.dry_until = {}
+        self.starting = []
+        self.unavailable_until = {}
         self.now = 0.0
         self.cost = 0.0
 
-    def step(self, running, passed=0.25):
-        self.now += passed
-        for at, key, count in list(self.booting):
-            if at <= self.now:
-                self.booting.remove((at, key, count))
-                self.ready[key] = self.ready.get(key, 0) + count
+    def step(self, running, elapsed_s=0.25):
+        self.now += elapsed_s
+        for ready_at, pool_key, count in list(self.starting):
+            if ready_at <= self.now:
+                self.starting.remove((ready_at, pool_key, count))
+                self.ready[pool_key] = self.ready.get(pool_key, 0) + count
         fleetplan.note_load(self.fleet, running, self.now)
         for order in fleetplan.decide(
             self.fleet, SCALING, self.ready, self.now
         ):
-            self.take(order)
+            self.place_order(order)
         for (domain, reclaimable), count in self.ready.items():
             price = SCALING.prices[domain]
-            part = SCALING.reclaimable_price if reclaimable else 1.0
-            self.cost += count * price * part * passed
-
-    def take(self, order):
-        key = (order.domain, order.reclaimable)
-        have = self.ready.get(key, 0) + sum(
-            count for _, other, count in self.booting if other == key
+            price_factor = SCALING.reclaimable_price if reclaimable else 1.0
+            self.cost += count * price * price_factor * elapsed_s
+
+    def place_order(self, order):
+        pool_key = (order.domain, order.reclaimable)
+        existing = self.ready.get(pool_key, 0) + sum(
+            count
+            for _, starting_key, count in self.starting
+            if starting_key == pool_key
         )
-        dry = order.reclaimable and self.now < self.dry_until.get(
-            order.domain, 0
+        unavailable = (
+            order.reclaimable
+            and self.now < self.unavailable_until.get(order.domain, 0)
         )
-        accepted = not (dry and order.count > have)
+        accepted = not (unavailable and order.count > existing)
         fleetplan.note_outcome(
             self.fleet, order, accepted=accepted, now=self.now
         )
         if not accepted:
             return
-        if order.count > have:
-            later = self.now + SCALING.boot_s
-            self.booting.append((later, key, order.count - have))
+        if order.count > existing:
+            ready_at = self.now + SCALING.boot_s
+            self.starting.append((ready_at, pool_key, order.count - existing))
         else:
-            self.booting = [each for each in self.booting if each[1] != key]
-            self.ready[key] = min(self.ready.get(key, 0), order.count)
+            self.starting = [
+                item for item in self.starting if item[1] != pool_key
+            ]
+            self.ready[pool_key] = min(self.ready.get(pool_key, 0), order.count)
 
-    def reclaim(self, domain, dry_s):
+    def reclaim(self, domain, unavailable_s):
         self.ready[domain, True] = 0
         fleetplan.note_reclaim(self.fleet, domain, self.now)
         for name in SCALING.prices:
-            self.dry_until[name] = self.now + dry_s
+            self.unavailable_until[name] = self.now + unavailable_s
 
     @property
     def total(self):
         return sum(self.ready.values())
 
 
-def make_fleet_world():
-    return FleetWorld({(d, False): 3 for d in SCALING.prices})
+def make_fleet_simulation():
+    return FleetSimulation({(domain, False): 3 for domain in SCALING.prices})
 
 
 class TestFleet:
-    def test_reclaimable_endpoints_take_the_place_of_on_demand_ones(self):
-        world = make_fleet_world()
+    def test_reclaimable_endpoints_replace_on_demand_ones(self):
+        simulation = make_fleet_simulation()
         for _ in range(80):
-            world.step(running=20)
-            assert world.total >= 5
+            simulation.step(running=20)
+            assert simulation.total >= 5
         on_demand = sum(
-            count for (_, kind), count in world.ready.items() if not kind
+            count
+            for (_, reclaimable), count in simulation.ready.items()
+            if not reclaimable
         )
         assert on_demand == 0
-        assert world.total >= 20 / fleetplan.REQUESTS_PER_ENDPOINT
+        assert simulation.total >= 20 / fleetplan.REQUESTS_PER_ENDPOINT
 
-    def test_it_costs_less_than_the_fleet_it_found(self):
-        world = make_fleet_world()
+    def test_cost_falls_below_that_of_the_initial_fleet(self):
+        simulation = make_fleet_simulation()
         for _ in range(240):
-            world.step(running=30)
-        fixed = 3 * sum(SCALING.prices.values()) * 60
-        assert world.cost < 0.5 * fixed
+            simulation.step(running=30)
+        initial_fleet_cost = 3 * sum(SCALING.prices.values()) * 60
+        assert simulation.cost < 0.5 * initial_fleet_cost
 
-    def test_reclaimed_domains_are_filled_in_while_there_are_none(self):
-        world = make_fleet_world()
+    def test_on_demand_endpoints_replace_reclaimed_domains_during_a_shortage(
+        self,
+    ):
+        simulation = make_fleet_simulation()
         for _ in range(80):
-            world.step(running=60)
-        world.reclaim("d1", dry_s=13.0)
-        world.reclaim("d3", dry_s=13.0)
+            simulation.step(running=60)
+        simulation.reclaim("d1", unavailable_s=13.0)
+        simulation.reclaim("d3", unavailable_s=13.0)
         for _ in range(24):
-            world.step(running=60)
-        assert world.total >= 60 / fleetplan.ON_DEMAND_REQUESTS
-        assert sum(c for (_, kind), c in world.ready.items() if not kind) > 0
+            simulation.step(running=60)
+        assert (
+            simulation.total >= 60 / fleetplan.REQUESTS_PER_ON_DEMAND_ENDPOINT
+        )
+        assert (
+            sum(
+                endpoint_count
+                for (_, reclaimable), endpoint_count in simulation.ready.items()
+                if not reclaimable
+            )
+            > 0
+        )
         for _ in range(120):
-            world.step(running=60)
+            simulation.step(running=60)
         on_demand = sum(
-            count for (_, kind), count in world.ready.items() if not kind
+            count
+            for (_, reclaimable), count in simulation.ready.items()
+            if not reclaimable
         )
         assert on_demand == 0
 
-    def test_in_a_shortage_the_next_reclaim_is_provided_for(self):
-        world = make_fleet_world()
+    def test_capacity_survives_the_next_reclaim_during_a_shortage(self):
+        simulation = make_fleet_simulation()
         for _ in range(80):
-            world.step(running=60)
-        world.reclaim("d1", dry_s=13.0)
-        least = 60 / fleetplan.ON_DEMAND_REQUESTS
+            simulation.step(running=60)
+        simulation.reclaim("d1", unavailable_s=13.0)
+        minimum = 60 / fleetplan.REQUESTS_PER_ON_DEMAND_ENDPOINT
         for _ in range(24):
-            world.step(running=60)
-            assert world.total >= least
+            simulation.step(running=60)
+            assert simulation.total >= minimum
         for domain in ("d2", "d3"):
-            assert world.total - world.ready[domain, True] >= least
+            assert simulation.total - simulation.ready[domain, True] >= minimum
 
-    def test_a_short_peak_orders_nothing_at_full_price(self):
-        world = make_fleet_world()
+    def test_a_short_peak_orders_no_on_demand_endpoints(self):
+        simulation = make_fleet_simulation()
         for _ in range(80):
-            world.step(running=30)
-        before = fleetplan.needed(world.fleet, SCALING, world.now)
+            simulation.step(running=30)
+        before = fleetplan.required_count(
+            simulation.fleet, SCALING, simulation.now
+        )
         for _ in range(16):
-            world.step(running=200)
-        assert fleetplan.needed(world.fleet, SCALING, world.now) == before
+            simulation.step(running=200)
+        assert (
+            fleetplan.required_count(simulation.fleet, SCALING, simulation.now)
+            == before
+        )
 
-    def test_a_notice_counts_at_once(self):
-        world = make_fleet_world()
+    def test_a_reclaim_notice_takes_effect_immediately(self):
+        simulation = make_fleet_simulation()
         for _ in range(80):
-            world.step(running=60)
-        world.reclaim("d1", dry_s=13.0)
+            simulation.step(running=60)
+        simulation.reclaim("d1", unavailable_s=13.0)
         orders = fleetplan.decide(
-            world.fleet, SCALING, world.ready, world.now + 0.1
+            simulation.fleet, SCALING, simulation.ready, simulation.now + 0.1
+        )
+        assert sum(order.count for order in orders if not order.reclaimable) > 1
+        assert not any(
+            order.domain == "d1" and order.reclaimable for order in orders
         )
-        assert sum(o.count for o in orders if not o.reclaimable) > 1
-        assert not any(o.domain == "d1" and o.reclaimable for o in orders)
 
     def test_bounds_of_a_domain_hold_for_both_kinds_together(self):
-        world = make_fleet_world()
+        simulation = make_fleet_simulation()
         rng = random.Random(3)
         for tick in range(400):
             if tick % 60 == 50:
-                world.reclaim(rng.choice(sorted(SCALING.prices)), 6.0)
-            world.step(running=rng.choice([5, 40, 90]))
+                simulation.reclaim(rng.choice(sorted(SCALING.prices)), 6.0)
+            simulation.step(running=rng.choice([5, 40, 90]))
             for domain in SCALING.prices:
                 placed = sum(
-                    world.fleet.placed[domain, kind].count
-                    for kind in (False, True)
+                    simulation.fleet.placed[domain, reclaimable].count
+                    for reclaimable in (False, True)
                 )
                 assert placed <= SCALING.maximum
-        assert world.total >= fleetplan.LEAST_ENDPOINTS
+        assert simulation.total >= fleetplan.MIN_ENDPOINTS
 
     def test_a_lost_endpoint_is_ordered_again(self):
-        world = make_fleet_world()
+        simulation = make_fleet_simulation()
         for _ in range(80):
-            world.step(running=30)
-        key = next(key for key, count in world.ready.items() if count > 1)
-        before = world.ready[key]
-        world.ready[key] -= 1
+            simulation.step(running=30)
+        key = next(key for key, count in simulation.ready.items() if count > 1)
+        before = simulation.ready[key]
+        simulation.ready[key] -= 1
         for _ in range(80):
-            world.step(running=30)
-        assert world.ready[key] >= before
+            simulation.step(running=30)
+        assert simulation.ready[key] >= before
 
 
-class RolloutWorld:
-    """Traffic over two versions, with the reports' lag."""
+class RolloutSimulation:
+    """Simulates traffic over two versions with delayed reports."""
 
-    def __init__(self, seed, bad_rate=0.0, bad_from_s=0.0, old_rate=0.02):
+    def __init__(self, seed, failure_rate=0.0, fails_from_s=0.0, old_rate=0.02):
         self.rng = random.Random(seed)
-        self.bad_rate = bad_rate
-        self.bad_from_s = bad_from_s
+        self.failure_rate = failure_rate
+        self.fails_from_s = fails_from_s
         self.old_rate = old_rate
         self.row = rows.RolloutRow("v2", "growing", 0, 0, 0, 12000, 0, "")
         self.trial = rolloutplan.Trial(
@@ -321,25 +352,32 @@
         )
         self.sums = {"v1": [0] * 4, "v2": [0] * 4}
         self.history = []
-        self.to_new = 0
+        self.new_requests = 0
         self.requests = 0
 
     def run(self, per_s=100):
         now = 0.0
         while now < 12.4 and self.row.state == "growing":
             now += 0.2
-            shares = [s for at, s in self.history if at <= now - 0.2]
+            shares = [
+                past_share
+                for decided_at, past_share in self.history
+                if decided_at <= now - 0.2
+            ]
             share = shares[-1] if shares else 0
             for _ in range(int(per_s * 0.2)):
                 self.request(share, now)
             present = now > 4.0
-            seen = {k: evidence.Sums(*v) for k, v in self.sums.items()}
+            counts_by_version = {
+                version: evidence.Sums(*counts)
+                for version, counts in self.sums.items()
+            }
             step = rolloutplan.decide(
                 "u",
                 self.row,
                 self.trial,
-                new=seen["v2"],
-                old=seen["v1"],
+                new=counts_by_version["v2"],
+                old=counts_by_version["v1"],
                 present=present,
                 canary_share=0.1,
                 now=now,
@@ -358,12 +396,16 @@
         self.requests += 1
         is_new = self.rng.random() * 1000 < share
         version = "v2" if is_new else "v1"
-        self.to_new += is_new
-        bad = is_new and now >= self.bad_from_s
-        rate = self.bad_rate if bad and self.bad_rate else self.old_rate
+        self.new_requests += is_new
+        is_failing = is_new and now >= self.fails_from_s
+        failure_probability = (
+            self.failure_rate
+            if is_failing and self.failure_rate
+            else self.old_rate
+        )
         sums = self.sums[version]
         sums[0] += 1
-        sums[1] += self.rng.random() < rate
+        sums[1] += self.rng.random() < failure_probability
         sums[2] += 1
 
 
@@ -371,7 +413,7 @@
     @pytest.mark.parametrize("seed", range(20))
     @pytest.mark.parametrize("old_rate", [0.0, 0.02, 0.14])
     def test_a_good_version_is_completed_in_time(self, seed, old_rate):
-        row = RolloutWorld(seed, old_rate=old_rate).run()
+        row = RolloutSimulation(seed, old_rate=old_rate).run()
         assert row.state == rollouts.COMPLETED, row.reason
 
     @pytest.mark.parametrize("seed", range(20))
@@ -381,17 +423,19 @@
     def test_a_bad_version_is_reverted_within_its_exposure(
         self, seed, rate, from_s
     ):
-        world = RolloutWorld(seed, bad_rate=rate, bad_from_s=from_s)
-        row = world.run()
+        simulation = RolloutSimulation(
+            seed, failure_rate=rate, fails_from_s=from_s
+        )
+        row = simulation.run()
         assert row.state == rollouts.REVERTED, row.reason
         if from_s == 0.0:
-            assert world.to_new <= 0.1 * 100 * 12 + 50
+            assert simulation.new_requests <= 0.1 * 100 * 12 + 50
 
-    def test_without_evidence_it_is_reverted_at_the_end(self):
-        assert RolloutWorld(1).run(per_s=0).state == rollouts.REVERTED
+    def test_a_rollout_without_evidence_is_reverted_at_the_end(self):
+        assert RolloutSimulation(1).run(per_s=0).state == rollouts.REVERTED
 
 
-class TestFinalAnswers:
+class TestRetryDecisions:
     @pytest.mark.parametrize(
         ("kind", "resumable", "result", "again"),
         [
@@ -404,21 +448,21 @@
             (routeconfig.IDEMPOTENT, False, results.TimedOut(reason=""), False),
         ],
     )
-    def test_only_what_may_be_repeated_is_sent_again(
+    def test_only_repeatable_requests_are_retried(
         self, kind, resumable, result, again
     ):
         route = relays.make_route(kind=kind, resumable=resumable)
         tally = results.add(results.Tally(), result)
         assert results.may_try_again(result, route, tally, 1.0) == again
 
-    def test_no_refusal_once_it_may_have_run(self):
+    def test_a_request_that_may_have_run_is_not_refused(self):
         tally = results.add(results.Tally(), results.Lost(reason=""))
         tally = results.add(tally, results.NotSent(reason=""))
         final = results.NotSent(reason="")
         assert results.final_status(final, tally) == 502
         assert results.final_status(final, results.Tally()) == 503
 
-    def test_no_time_left_means_no_other_endpoint(self):
+    def test_no_retry_without_time_left(self):
         route = relays.make_route()
         lost = results.Lost(reason="")
         tally = results.add(results.Tally(), lost)
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -1,4 +1,4 @@
-"""Version moves: steps, evidence, deadlines, and the e-process."""
+"""Version moves: steps, evidence, deadlines and the sequential test."""
 
 import copy
 import random
@@ -22,17 +22,17 @@
     return machine.apply(tables, payload, tables.applied + 1)
 
 
-def inventory(**versions):
-    made = copy.deepcopy(worlds.INVENTORY)
-    for upstream in made["upstreams"]:
+def make_inventory(**versions):
+    inventory = copy.deepcopy(worlds.INVENTORY)
+    for upstream in inventory["upstreams"]:
         upstream["bake_s"] = BAKE_S
         upstream["rollout_deadline_s"] = DEADLINE_S
         upstream["version"] = versions.get(upstream["name"], "v1")
-    return made
+    return inventory
 
 
-class World:
-    """A move under synthetic traffic."""
+class MoveSimulation:
+    """Simulates a move under synthetic traffic."""
 
     def __init__(self, upstream="model", rate=40, seed=1):
         self.upstream = upstream
@@ -42,52 +42,65 @@
         self.trials = moveplan.Trials()
         self.now_ms = 1000
         self.counts = {}
-        self.up = {("model", "v1"), ("claims", "v1")}
+        self.available_versions = {("model", "v1"), ("claims", "v1")}
         self.revision = 0
-        self.new_ran = 0
-        self.bad = 0
+        self.new_requests = 0
+        self.new_failures = 0
         self.apply()
 
     def apply(self, **versions):
         command = commands.Apply(
-            f"op{self.revision}", "ann", self.revision, inventory(**versions)
+            f"op{self.revision}",
+            "ann",
+            self.revision,
+            make_inventory(**versions),
         )
         outcome = apply(self.tables, command, self.now_ms)
         assert isinstance(outcome, outcomes.Accepted)
         self.revision += 1
 
-    def move(self):
+    def last_move(self):
         return list(self.tables.moves.values())[-1]
 
-    def tick(self, old_error=0.005, new_error=0.005, slow=0.1, new_slow=0.1):
-        """Lets a quarter of a second of traffic pass, then decides."""
+    def tick(
+        self, old_error=0.005, new_error=0.005, old_slow=0.1, new_slow=0.1
+    ):
+        """Simulates a quarter of a second of traffic and applies due steps."""
         self.now_ms += 250
         for move in self.tables.moves.values():
             for route, share in move.shares.items():
                 for _ in range(round(self.rate / 4)):
-                    self._one(
-                        move, route, share, old_error, new_error, slow, new_slow
+                    self._record_request(
+                        move,
+                        route,
+                        share,
+                        old_error,
+                        new_error,
+                        old_slow,
+                        new_slow,
                     )
         for step in moveplan.decide(
             self.tables, self.reports(), self.trials, self.now_ms
         ):
             apply(self.tables, step, self.now_ms)
 
-    def _one(self, move, route, share, old_error, new_error, slow, new_slow):
-        new = self.rng.random() * 1000 < share
-        version = move.new if new else move.old
-        failed = self.rng.random() < (new_error if new else old_error)
-        late = self.rng.random() < (new_slow if new else slow)
-        side = f"{move.upstream}|{version}|{route}"
-        ran, errors, slows, timed = self.counts.get(side, (0, 0, 0, 0))
-        self.counts[side] = (
+    def _record_request(
+        self, move, route, share, old_error, new_error, old_slow, new_slow
+    ):
+        is_new = self.rng.random() * 1000 < share
+        version = move.new if is_new else move.old
+        failed = self.rng.random() < (new_error if is_new else old_error)
+        slow = self.rng.random() < (new_slow if is_new else old_slow)
+        key = f"{move.upstream}|{version}|{route}"
+        ran, errors, slow_count, measured = self.counts.get(key, (0, 0, 0, 0))
+        self.counts[key] = (
             ran + 1,
             errors + failed,
-            slows + (late and not failed),
-            timed + (not failed),
+            slow_count + (slow and not failed),
+            measured + (not failed),
         )
-        self.new_ran += new
-        self.bad += new and failed
+        self.new_requests += is_new
+        self.new_failures += is_new and failed
 
     def reports(self):
         return {
@@ -104,188 +117,192 @@
                         0,
                         True,
                     ]
-                    for name, version in self.up
+                    for name, version in self.available_versions
                 },
             }
         }
 
-    def run(self, seconds, **rates):
+    def run(self, seconds, **outcome_rates):
         for _ in range(seconds * 4):
-            self.tick(**rates)
-            if self.move().state not in ("waiting", "growing", "baking"):
+            self.tick(**outcome_rates)
+            if self.last_move().state not in ("waiting", "growing", "baking"):
                 return
 
 
 class TestGoodVersion:
     @pytest.mark.parametrize("upstream", ["model", "claims"])
-    def test_is_done_by_the_deadline(self, upstream):
-        world = World(upstream)
-        world.apply(**{upstream: "v2"})
-        world.up.add((upstream, "v2"))
-        world.run(DEADLINE_S)
-        assert world.move().state == "done", world.move()
-        assert world.tables.versions[upstream] == "v2"
+    def test_move_is_done_by_the_deadline(self, upstream):
+        simulation = MoveSimulation(upstream)
+        simulation.apply(**{upstream: "v2"})
+        simulation.available_versions.add((upstream, "v2"))
+        simulation.run(DEADLINE_S)
+        assert simulation.last_move().state == "done", simulation.last_move()
+        assert simulation.tables.versions[upstream] == "v2"
 
     def test_quiet_traffic_still_moves(self):
-        world = World(rate=4)
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(DEADLINE_S)
-        assert world.move().state == "done", world.move()
+        simulation = MoveSimulation(rate=4)
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(DEADLINE_S)
+        assert simulation.last_move().state == "done", simulation.last_move()
 
     def test_route_that_is_quiet_when_the_move_begins_still_moves(self):
-        """The first share must not follow from a moment without traffic."""
-        world = World(rate=0)
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(3)
-        world.rate = 4
-        world.run(DEADLINE_S)
-        assert world.move().state == "done", world.move()
-
-    def test_shared_incident_is_not_its_fault(self):
-        world = World()
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(30, old_error=0.3, new_error=0.3)
-        world.run(DEADLINE_S)
-        assert world.move().state == "done", world.move()
+        """The first share must not be based on a moment without traffic."""
+        simulation = MoveSimulation(rate=0)
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(3)
+        simulation.rate = 4
+        simulation.run(DEADLINE_S)
+        assert simulation.last_move().state == "done", simulation.last_move()
+
+    def test_failures_of_both_versions_do_not_take_it_back(self):
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(30, old_error=0.3, new_error=0.3)
+        simulation.run(DEADLINE_S)
+        assert simulation.last_move().state == "done", simulation.last_move()
 
     def test_non_repeatable_routes_wait_for_the_others(self):
-        world = World("claims")
-        world.apply(claims="v2")
-        world.up.add(("claims", "v2"))
+        simulation = MoveSimulation("claims")
+        simulation.apply(claims="v2")
+        simulation.available_versions.add(("claims", "v2"))
         for _ in range(200):
-            world.tick()
-            shares = world.move().shares
+            simulation.tick()
+            shares = simulation.last_move().shares
             if shares["claim"]:
                 break
-        assert shares["lots"] >= moveplan.REPEATABLE_FIRST
+        assert shares["lots"] >= moveplan.MIN_REPEATABLE_SHARE_PER_MILLE
         assert shares["claim"] <= 50
 
 
 class TestBadVersion:
     @pytest.mark.parametrize("seed", range(5))
-    def test_that_fails_at_once_is_taken_back(self, seed):
-        world = World(seed=seed)
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(60, new_error=0.5)
-        assert world.move().state == "taken_back"
-        assert world.bad < 12
-        assert set(world.move().shares.values()) == {0}
-        assert world.tables.versions["model"] == "v1"
-
-    def test_that_fails_while_baking_is_taken_back(self):
-        world = World()
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        while world.move().state != "baking":
-            world.tick()
-        world.run(10, new_error=0.3)
-        assert world.move().state == "taken_back"
-
-    def test_that_is_slow_is_taken_back(self):
-        world = World()
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(100, new_slow=0.6)
-        assert world.move().state == "taken_back"
-        assert "slow" in world.move().reason
-
-    def test_is_not_started_again_by_an_edit_elsewhere(self):
-        world = World()
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(60, new_error=0.9)
-        world.apply(model="v2", claims="v1")
-        assert len(world.tables.moves) == 1
-        world.apply(model="v1")
-        world.apply(model="v2")
-        assert len(world.tables.moves) == 2
+    def test_version_that_fails_from_the_start_is_taken_back(self, seed):
+        simulation = MoveSimulation(seed=seed)
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(60, new_error=0.5)
+        assert simulation.last_move().state == "taken_back"
+        assert simulation.new_failures < 12
+        assert set(simulation.last_move().shares.values()) == {0}
+        assert simulation.tables.versions["model"] == "v1"
+
+    def test_version_that_fails_while_baking_is_taken_back(self):
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        while simulation.last_move().state != "baking":
+            simulation.tick()
+        simulation.run(10, new_error=0.3)
+        assert simulation.last_move().state == "taken_back"
+
+    def test_slow_version_is_taken_back(self):
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(100, new_slow=0.6)
+        assert simulation.last_move().state == "taken_back"
+        assert "slow" in simulation.last_move().reason
+
+    def test_taken_back_version_is_not_restarted_by_an_unrelated_change(self):
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(60, new_error=0.9)
+        simulation.apply(model="v2", claims="v1")
+        assert len(simulation.tables.moves) == 1
+        simulation.apply(model="v1")
+        simulation.apply(model="v2")
+        assert len(simulation.tables.moves) == 2
 
 
 class TestDeadline:
     def test_without_instances_it_is_taken_back(self):
-        world = World()
-        world.apply(model="v2")
-        world.run(DEADLINE_S + 1)
-        assert world.move().state == "taken_back"
-        assert "deadline" in world.move().reason
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.run(DEADLINE_S + 1)
+        assert simulation.last_move().state == "taken_back"
+        assert "deadline" in simulation.last_move().reason
 
     def test_without_evidence_it_is_taken_back(self):
-        world = World()
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(15)
-        world.rate = 0
-        world.run(DEADLINE_S)
-        assert world.move().state == "taken_back"
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(15)
+        simulation.rate = 0
+        simulation.run(DEADLINE_S)
+        assert simulation.last_move().state == "taken_back"
 
 
 class TestSuperseding:
     def test_newer_target_ends_the_move(self):
-        world = World()
-        world.apply(model="v2")
-        world.apply(model="v3")
-        states = [row.state for row in world.tables.moves.values()]
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.apply(model="v3")
+        states = [row.state for row in simulation.tables.moves.values()]
         assert states == ["superseded", "waiting"]
-        assert world.move().old == "v1"
+        assert simulation.last_move().old == "v1"
 
     def test_two_moves_at_once(self):
-        world = World()
-        world.apply(model="v2", claims="v2")
-        world.up |= {("model", "v2"), ("claims", "v2")}
+        simulation = MoveSimulation()
+        simulation.apply(model="v2", claims="v2")
+        simulation.available_versions |= {("model", "v2"), ("claims", "v2")}
         for _ in range(DEADLINE_S * 4):
-            world.tick()
-        states = [row.state for row in world.tables.moves.values()]
+            simulation.tick()
+        states = [row.state for row in simulation.tables.moves.values()]
         assert states == ["done", "done"]
 
     def test_stale_step_is_ignored(self):
-        world = World()
-        world.apply(model="v2")
-        (move,) = world.tables.moves
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        (move,) = simulation.tables.moves
         step = commands.StepMove(move, 7, "done", {}, "late")
-        outcome = apply(world.tables, step, world.now_ms)
+        outcome = apply(simulation.tables, step, simulation.now_ms)
         assert isinstance(outcome, outcomes.Stale)
 
 
 class TestControlFailover:
-    def test_new_leader_goes_on_from_the_tables(self):
-        world = World()
-        world.apply(model="v2")
-        world.up.add(("model", "v2"))
-        world.run(15)
-        world.trials = moveplan.Trials()
-        world.tables = machine.load(machine.dump(world.tables))
-        world.run(DEADLINE_S)
-        assert world.move().state == "done", world.move()
+    def test_new_leader_continues_from_the_tables(self):
+        simulation = MoveSimulation()
+        simulation.apply(model="v2")
+        simulation.available_versions.add(("model", "v2"))
+        simulation.run(15)
+        simulation.trials = moveplan.Trials()
+        simulation.tables = machine.load(machine.dump(simulation.tables))
+        simulation.run(DEADLINE_S)
+        assert simulation.last_move().state == "done", simulation.last_move()
 
 
 class TestComparison:
-    def test_is_rarely_wrong_when_both_are_equal(self):
-        """Ville's bound: at most one run in a thousand crosses."""
+    def test_false_positives_are_rare_for_equal_versions(self):
+        """By Ville's inequality at most one run in a thousand crosses."""
         rng = random.Random(11)
-        crossed = 0
+        false_positives = 0
         for _ in range(300):
-            test = compare.Comparison()
+            comparison = compare.Comparison()
             rate = rng.choice([0.0, 0.01, 0.05, 0.2])
             for _ in range(100):
-                old = sum(rng.random() < rate for _ in range(18))
-                new = sum(rng.random() < rate for _ in range(3))
-                test.update(compare.Block(18, old, 3, new))
-            crossed += test.log_evidence >= moveplan.LOG_THRESHOLD
-        assert crossed <= 3
-
-    def test_five_failures_in_a_row_suffice(self):
-        test = compare.Comparison()
-        test.update(compare.Block(100, 0, 0, 0))
+                old_failures = sum(rng.random() < rate for _ in range(18))
+                new_failures = sum(rng.random() < rate for _ in range(3))
+                comparison.update(
+                    compare.Block(18, old_failures, 3, new_failures)
+                )
+            false_positives += (
+                comparison.log_evidence >= moveplan.LOG_EVIDENCE_THRESHOLD
+            )
+        assert false_positives <= 3
+
+    def test_five_consecutive_failures_reach_the_threshold(self):
+        comparison = compare.Comparison()
+        comparison.update(compare.Block(100, 0, 0, 0))
         for _ in range(5):
-            test.update(compare.Block(5, 0, 1, 1))
-        assert test.log_evidence >= moveplan.LOG_THRESHOLD
+            comparison.update(compare.Block(5, 0, 1, 1))
+        assert comparison.log_evidence >= moveplan.LOG_EVIDENCE_THRESHOLD
 
-    def test_good_outcomes_never_count_against(self):
-        test = compare.Comparison()
+    def test_successes_never_count_against_the_new_version(self):
+        comparison = compare.Comparison()
         for _ in range(500):
-            test.update(compare.Block(5, 0, 5, 0))
-        assert test.log_evidence < 1
+            comparison.update(compare.Block(5, 0, 5, 0))
+        assert comparison.log_evidence < 1
--- a/testing/test_routeconfig.py
+++ b/testing/test_routeconfig.py
@@ -1,4 +1,4 @@
-"""Configurations of routes: validity, JSON, look-ups, publishing."""
+"""Route configurations: validation, JSON, lookup and publication."""
 
 import json
 import random
@@ -37,7 +37,7 @@
 
 
 class TestCheck:
-    def test_a_good_configuration_has_no_problem(self):
+    def test_a_valid_configuration_has_no_problems(self):
         assert routeconfig.check(make_config()) == []
 
     @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
             ),
         ],
     )
-    def test_each_fault_is_named(self, routes, part):
+    def test_each_problem_is_reported(self, routes, part):
         problems = routeconfig.check(make_config(routes=routes))
         assert any(part in problem for problem in problems)
 
@@ -130,7 +130,7 @@
         assert self.publish(tables, 3, "three") == outcomes.Accepted(revision=5)
         assert tables.routes_source == "five"
 
-    def test_other_content_under_the_version_held_is_not_taken(self):
+    def test_other_content_for_the_current_version_is_ignored(self):
         tables = rows.Tables()
         self.publish(tables, 5, "five")
         self.publish(tables, 5, "other")
--- a/testing/test_state.py
+++ b/testing/test_state.py
@@ -1,4 +1,4 @@
-"""Replicated tables: configuration, entries, quarantine, fleet, charges."""
+"""State machine: configuration, entries, quarantine, orders and charges."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -33,7 +33,7 @@
     def test_first_is_accepted(self, tables):
         assert configure(tables, "a", 0) == outcomes.Accepted(revision=1)
 
-    def test_racing_operators_exactly_one_wins(self, tables):
+    def test_exactly_one_of_two_concurrent_operators_is_accepted(self, tables):
         first = configure(tables, "a", 0, "ann")
         second = configure(tables, "b", 0, "bob")
         assert isinstance(first, outcomes.Accepted)
@@ -41,13 +41,13 @@
             revision=1, operator="ann", operation="a"
         )
 
-    def test_resend_gets_the_first_answer_whatever_came_since(self, tables):
+    def test_resend_returns_the_first_outcome_after_later_changes(self, tables):
         configure(tables, "a", 0)
         configure(tables, "b", 1)
         assert configure(tables, "a", 0) == outcomes.Accepted(revision=1)
         assert tables.revision == 2
 
-    def test_resend_of_a_lost_race_stays_lost(self, tables):
+    def test_resend_of_a_conflicting_operation_stays_a_conflict(self, tables):
         configure(tables, "a", 0)
         configure(tables, "b", 0)
         again = configure(tables, "b", 0)
@@ -85,13 +85,13 @@
         assert tables.entries["e"].incarnation == 5
         assert isinstance(register(tables, 3), outcomes.Stale)
 
-    def test_gone_incarnation_must_come_back_as_another(self, tables):
+    def test_gone_entry_must_register_a_new_incarnation(self, tables):
         register(tables, 1)
         apply(tables, commands.SetEntryState("e", 1, "gone"))
         assert isinstance(register(tables, 1), outcomes.Stale)
         assert isinstance(register(tables, 2), outcomes.Accepted)
 
-    def test_word_about_an_old_incarnation_changes_nothing(self, tables):
+    def test_state_change_of_an_old_incarnation_is_ignored(self, tables):
         register(tables, 1)
         register(tables, 2)
         apply(tables, commands.SetEntryState("e", 1, "gone"))
@@ -112,12 +112,12 @@
 
 
 class TestQuarantine:
-    def test_first_death_makes_suspects_and_convicts_nobody(self, tables):
+    def test_first_death_makes_suspects_without_conviction(self, tables):
         report(tables, "u", "f", "g")
         assert set(tables.suspects) == {"f", "g"}
         assert tables.convicted == {}
 
-    def test_second_death_convicts_the_one_that_ran_alone(self, tables):
+    def test_second_death_convicts_the_suspect_that_ran_alone(self, tables):
         report(tables, "u", "f", "g")
         apply(tables, commands.Isolate("f", "v", 1, "e"))
         outcome = report(tables, "v", "f")
@@ -125,7 +125,7 @@
         assert set(tables.convicted) == {"f"}
         assert set(tables.suspects) == {"g"}
 
-    def test_two_at_the_death_convict_neither(self, tables):
+    def test_death_with_two_running_requests_convicts_neither(self, tables):
         apply(tables, commands.Isolate("f", "v", 1, "e"))
         report(tables, "v", "f", "other")
         assert tables.convicted == {}
@@ -133,7 +133,7 @@
         assert tables.isolations == {}
 
     def test_report_that_contradicts_a_conviction_makes_suspects(self, tables):
-        """An entry that missed a restart names the incarnation before it."""
+        """An entry that missed a restart reports the previous incarnation."""
         isolate(tables, "f", "v")
         report(tables, "v", "f")
         assert report(tables, "v", "x", "y") == outcomes.Accepted()
@@ -152,7 +152,7 @@
         report(tables, "v", "f")
         assert isinstance(isolate(tables, "f", "v"), outcomes.Stale)
 
-    def test_one_death_convicts_one(self, tables):
+    def test_one_death_convicts_one_request(self, tables):
         isolate(tables, "f", "v")
         report(tables, "v", "f")
         later = commands.Isolate("g", "v", 2, "e")
@@ -160,13 +160,13 @@
         report(tables, "v", "g")
         assert set(tables.convicted) == {"f"}
 
-    def test_one_suspect_an_upstream_and_one_upstream_a_suspect(self, tables):
+    def test_isolation_is_one_to_one(self, tables):
         assert isolate(tables, "f", "u") == outcomes.Granted()
         assert isolate(tables, "f", "u") == outcomes.Granted()
         assert isinstance(isolate(tables, "g", "u"), outcomes.Occupied)
         assert isinstance(isolate(tables, "f", "v"), outcomes.Occupied)
 
-    def test_completion_clears(self, tables):
+    def test_completion_clears_the_suspect(self, tables):
         report(tables, "u", "f")
         isolate(tables, "f", "v")
         apply(tables, commands.Release("f", "v", True))
@@ -190,7 +190,7 @@
     return apply(tables, commands.Isolate(fingerprint, upstream, 1, "e"))
 
 
-def start_order(name="o1", fence=1):
+def make_start_order(name="o1", fence=1):
     return commands.OrderInstance(
         name, "start", "i1", "model", "v1", "d1", "c", True, fence
     )
@@ -198,26 +198,28 @@
 
 class TestFleet:
     def test_order_is_recorded_before_it_is_sent(self, tables):
-        apply(tables, start_order())
+        apply(tables, make_start_order())
         assert tables.instances["i1"].state == "starting"
         apply(tables, commands.SettleOrder("o1", "done", 77))
         assert tables.instances["i1"].state == "running"
         assert tables.instances["i1"].price_micro_per_hour == 77
 
-    def test_notice_reaches_the_view_whoever_ordered(self, tables):
+    def test_reclaim_notice_of_an_unordered_instance_reaches_the_view(
+        self, tables
+    ):
         apply(tables, commands.MarkInstance("theirs", 2.5))
         parts = view.parts_since(tables, 0)
         assert parts == {"leaving": {"theirs": 2.5}}
         apply(tables, commands.Tick(), at_ms=700_000)
         assert tables.leaving == {}
 
-    def test_old_fence_is_stale(self, tables):
-        apply(tables, start_order("o1", fence=5))
-        outcome = apply(tables, start_order("o2", fence=4))
+    def test_order_with_a_lower_fence_is_stale(self, tables):
+        apply(tables, make_start_order("o1", fence=5))
+        outcome = apply(tables, make_start_order("o2", fence=4))
         assert isinstance(outcome, outcomes.Stale)
 
     def test_refused_start_leaves_no_instance(self, tables):
-        apply(tables, start_order())
+        apply(tables, make_start_order())
         apply(tables, commands.SettleOrder("o1", "refused", 0))
         assert tables.instances["i1"].state == "gone"
 
@@ -243,7 +245,7 @@
         assert sum(amounts.values()) == sum(use.bill_micro for use in drawn)
         assert all(amount >= 0 for amount in amounts.values())
 
-    def test_idle_goes_to_the_owner(self):
+    def test_idle_time_is_charged_to_the_owner(self):
         use = charges.Use(1000, "ann", {"w1": 25}, 100)
         assert charges.divide([use]) == {"workspace/w1": 250, "idle/ann": 750}
 
@@ -265,7 +267,7 @@
         assert isinstance(outcome, outcomes.Stale)
         assert tables.applied == 1
 
-    def test_view_sends_only_what_changed(self, tables):
+    def test_view_contains_only_changed_parts(self, tables):
         configure(tables, "a", 0)
         known = view.version(tables)
         register(tables, 1)
