--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -5,7 +5,7 @@
 import agreement_machine
 import fakes
 import pytest
-import twins
+import state_machine_runner
 
 from _arbutuswalk.agreement import election
 from _arbutuswalk.agreement import raftlog
@@ -225,7 +225,9 @@
     def test_no_sync_before_an_acknowledgement(self, monkeypatch):
         monkeypatch.setattr(fakes.FakeFolder, "sync", lambda self, name: None)
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_restart_that_forgets_the_leader_it_heard(self, monkeypatch):
         made = replicas.Replica.__init__
@@ -237,7 +239,9 @@
 
         monkeypatch.setattr(replicas.Replica, "__init__", forgetful)
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_lease_from_the_time_of_receipt(self, monkeypatch):
         taken = replication.on_append_reply
@@ -248,7 +252,9 @@
 
         monkeypatch.setitem(step._HANDLERS, ttypes.AppendReply, from_receipt)
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_disk_loss_that_keeps_the_member_id(self, monkeypatch):
         monkeypatch.setattr(
@@ -257,7 +263,9 @@
             lambda self: f"{self.identity.address}/same",
         )
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_promises_kept_over_a_change_of_term(self):
         """An acknowledgement queued before a new term must not go out."""
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -1,8 +1,8 @@
-"""Non-repeatable calls run at most once; the oracle counts runs."""
+"""Ledger of non-repeatable calls: each call runs at most once."""
 
 import ledger_machine
 import pytest
-import twins
+import state_machine_runner
 
 from _arbutuswalk.entry import calls
 from _arbutuswalk.state import commands
@@ -13,7 +13,7 @@
 
 
 class TestLedgerMachine(ledger_machine.LedgerMachine.TestCase):
-    """Runs the machine with the profile in force."""
+    """Runs the state machine with the active Hypothesis profile."""
 
 
 def begin(attempt="a1", digest="d", entry="e", incarnation=1):
@@ -43,7 +43,7 @@
         apply(state, begin())
         assert apply(state, begin()) == outcomes.Granted()
 
-    def test_another_attempt_is_told_it_runs(self, state):
+    def test_another_attempt_gets_the_running_state(self, state):
         apply(state, begin())
         assert apply(state, begin("a2")).state == "running"
 
@@ -67,7 +67,7 @@
         apply(state, commands.WithdrawCall("w", "k", "a1"))
         assert apply(state, begin("a2")) == outcomes.Granted()
 
-    def test_intent_that_comes_after_its_withdrawal_is_refused(self, state):
+    def test_intent_committed_after_its_withdrawal_is_refused(self, state):
         apply(state, commands.WithdrawCall("w", "k", "a1"))
         assert isinstance(apply(state, begin()), outcomes.Stale)
         assert ledger.find(state, "w", "k") == outcomes.Absent()
@@ -79,7 +79,7 @@
         assert apply(state, begin("a3")).state == "running"
         assert ledger.find(state, "w", "k").state == "running"
 
-    def test_entry_death_makes_running_unknown(self, state):
+    def test_entry_death_makes_a_running_call_unknown(self, state):
         apply(state, begin())
         apply(state, commands.SetEntryState("e", 1, "gone"))
         assert ledger.find(state, "w", "k").state == "unknown"
@@ -105,47 +105,49 @@
         assert state.time_ms == 5000
 
 
-class TestPlantedFaults:
-    """Each fault below is one the oracle has to see."""
+class TestInjectedFaults:
+    """The checks of the state machine must detect each injected fault."""
 
-    def test_retry_after_a_byte_left(self, monkeypatch):
-        async def try_again(entry, call, attempt, row):
+    def test_retry_after_the_call_was_sent(self, monkeypatch):
+        async def retry_anyway(entry, call, attempt, row):
             return await calls._withdraw(entry, call, attempt)
 
-        monkeypatch.setattr(calls, "_resolve", try_again)
+        monkeypatch.setattr(calls, "_resolve", retry_anyway)
         with pytest.raises(AssertionError):
-            twins.run(ledger_machine.LedgerMachine)
+            state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_unknown_call_granted_to_a_resend(self, monkeypatch):
-        real = ledger.begin
+        original_begin = ledger.begin
 
-        def forgiving(tables, command):
+        def grant_unknown(tables, command):
             call = ledger.call_id(command.workspace, command.key)
             row = tables.calls.get(call)
             if row is not None and row.state == "unknown":
                 del tables.calls[call]
-            return real(tables, command)
+            return original_begin(tables, command)
 
-        monkeypatch.setitem(machine._HANDLERS, commands.BeginCall, forgiving)
+        monkeypatch.setitem(
+            machine._HANDLERS, commands.BeginCall, grant_unknown
+        )
         with pytest.raises(AssertionError):
-            twins.run(ledger_machine.LedgerMachine)
+            state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_send_without_waiting_for_the_grant(self, monkeypatch):
-        async def eager(entry, call, attempt, outcome):
+        async def send_ungranted(entry, call, attempt, outcome):
             row = next(iter(entry.upstreams.rows.values()))
             sent = await calls._send(entry, call, attempt, row)
             return sent or calls._not_run("never opened")
 
-        monkeypatch.setattr(calls, "_not_granted", eager)
+        monkeypatch.setattr(calls, "_not_granted", send_ungranted)
         with pytest.raises(AssertionError):
-            twins.run(ledger_machine.LedgerMachine)
+            state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_records_that_expire_too_soon(self, monkeypatch):
         monkeypatch.setattr(ledger, "RECORD_KEPT_MS", 3000)
         with pytest.raises(AssertionError):
-            twins.run(ledger_machine.LedgerMachine)
+            state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
-    def test_refusal_that_lies(self, monkeypatch):
+    def test_call_with_unknown_outcome_reported_as_not_run(self, monkeypatch):
         monkeypatch.setattr(calls, "_unknown", calls._not_run)
         with pytest.raises(AssertionError):
-            twins.run(ledger_machine.LedgerMachine)
+            state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -3,8 +3,8 @@
 import hypothesis
 import hypothesis.strategies as st
 import pytest
+import state_machine_runner
 import stream_machine
-import twins
 
 from _arbutuswalk.entry import running
 from _arbutuswalk.entry import suspicion
@@ -29,7 +29,7 @@
 
         monkeypatch.setattr(running, "_order", forgetful)
         with pytest.raises(AssertionError):
-            twins.run(stream_machine.StreamMachine)
+            state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
     def test_suspects_that_run_beside_each_other(self, monkeypatch):
         monkeypatch.setattr(
@@ -38,7 +38,7 @@
             lambda self, fingerprint: False,
         )
         with pytest.raises(AssertionError):
-            twins.run(stream_machine.StreamMachine)
+            state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
     def test_reclaim_taken_for_a_crash(self, monkeypatch):
         async def report_all(state, row, result):
@@ -47,7 +47,7 @@
 
         monkeypatch.setattr(running, "_look_for_death", report_all)
         with pytest.raises(AssertionError):
-            twins.run(stream_machine.StreamMachine)
+            state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
 
 class TestFramer:
