--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -315,7 +315,7 @@
     return None
 
 
-def route_names(upstream: Upstream) -> list[tuple[str, bool]]:
+def list_routes(upstream: Upstream) -> list[tuple[str, bool]]:
     """Returns (name, repeatable) of every route of an upstream."""
     if upstream["kind"] == "model":
         return [(name, True) for name in MODEL_ROUTES]
--- a/src/_arbutuswalk/state/machine.py
+++ b/src/_arbutuswalk/state/machine.py
@@ -11,9 +11,9 @@
 from _arbutuswalk.state import ledger
 from _arbutuswalk.state import moves
 from _arbutuswalk.state import outcomes
-from _arbutuswalk.state import published
 from _arbutuswalk.state import quarantine
 from _arbutuswalk.state import rollouts
+from _arbutuswalk.state import route_publication
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.state import usage
 from _arbutuswalk.state import view
@@ -37,7 +37,7 @@
     commands.SettleOrder: fleet.settle_order,
     commands.MarkInstance: fleet.record_reclaim_notice,
     commands.Charge: charges.settle,
-    commands.PublishRoutes: published.publish,
+    commands.PublishRoutes: route_publication.publish,
     commands.BeginRollout: rollouts.begin,
     commands.StepRollout: rollouts.step,
     commands.SettleUsage: usage.settle,
--- a/src/_arbutuswalk/state/moveplan.py
+++ b/src/_arbutuswalk/state/moveplan.py
@@ -199,7 +199,7 @@
 ) -> commands.StepMove | None:
     """Raises the share of every route whose next step is due."""
     shares = dict(row.shares)
-    routes = inventories.route_names(upstream)
+    routes = inventories.list_routes(upstream)
     repeatable_shares = [
         row.shares[name] for name, repeatable in routes if repeatable
     ]
--- a/src/_arbutuswalk/state/moves.py
+++ b/src/_arbutuswalk/state/moves.py
@@ -81,7 +81,7 @@
     if _was_taken_back(tables, name, target):
         return
     deadline_ms = upstream["rollout_deadline_s"] * 1000
-    shares = {route: 0 for route, _ in inventories.route_names(upstream)}
+    shares = {route: 0 for route, _ in inventories.list_routes(upstream)}
     tables.moves[f"{name}-{tables.revision}"] = rows.MoveRow(
         upstream=name,
         old=current,
