--- a/bench/control.py
+++ b/bench/control.py
@@ -11,7 +11,7 @@
 from _arbutuswalk.control import replicated
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.state import commands
-from _arbutuswalk.state import machine
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.storage import folder
 from _arbutuswalk.storage import wal
@@ -127,7 +127,8 @@
                 wal.LogEntry(
                     i + 1,
                     1,
-                    types.COMMAND + machine.stamp(begin_call(i), 1000 + i),
+                    types.COMMAND
+                    + state_machine.stamp(begin_call(i), 1000 + i),
                 )
                 for i in range(entries)
             ]
@@ -158,14 +159,16 @@
     for calls in (1000, 10_000, 100_000):
         tables = rows.Tables()
         register = commands.RegisterEntry("entry-0", 1, "a", "l", "d", 1, "r")
-        machine.apply(tables, machine.stamp(register, 1), 1)
+        state_machine.apply(tables, state_machine.stamp(register, 1), 1)
         for i in range(calls):
-            machine.apply(tables, machine.stamp(begin_call(i), 1), i + 2)
+            state_machine.apply(
+                tables, state_machine.stamp(begin_call(i), 1), i + 2
+            )
         started = time.monotonic()
-        data = machine.dump(tables)
+        data = state_machine.dump(tables)
         dump_s = time.monotonic() - started
         started = time.monotonic()
-        machine.load(data)
+        state_machine.load(data)
         out.append(
             {
                 "calls": calls,
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -10,8 +10,8 @@
 from _arbutuswalk.routing import evidence
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import moveplan
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from bench import rig
 
@@ -136,7 +136,7 @@
     def commit(command):
         nonlocal index
         index += 1
-        machine.apply(tables, machine.stamp(command, now_ms), index)
+        state_machine.apply(tables, state_machine.stamp(command, now_ms), index)
 
     commit(commands.Apply("a", "x", 0, inventory("v1")))
     commit(commands.Apply("b", "x", 1, inventory("v2")))
--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -18,8 +18,8 @@
 from _arbutuswalk.agreement import transfer
 from _arbutuswalk.agreement import types
 from _arbutuswalk.base import events
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.storage import errors
 from _arbutuswalk.storage import folder
@@ -126,7 +126,7 @@
         if found.snapshot is not None:
             index, term, packed = found.snapshot
             members, state = snapshot.unpack(packed)
-            self.tables = machine.load(state)
+            self.tables = state_machine.load(state)
             self.applied = index
         return raftlog.RaftLog(
             base_index=index,
@@ -168,7 +168,7 @@
         may = membership.accepts_commands(self.replica)
         if not self.is_leader or not may:
             return None
-        payload = types.COMMAND + machine.stamp_encoded(command, at_ms)
+        payload = types.COMMAND + state_machine.stamp_encoded(command, at_ms)
         return replication.propose(self.replica, payload, now)
 
     def take(self) -> types.Ready:
@@ -192,7 +192,7 @@
         """Notes that a round is durable."""
         if ready.snapshot is not None:
             _, state = snapshot.unpack(ready.snapshot.state)
-            self.tables = machine.load(state)
+            self.tables = state_machine.load(state)
             self.applied = ready.snapshot.index
             events.log(events.Event.SNAPSHOT_INSTALLED, self.applied)
         if ready.entries:
@@ -208,7 +208,7 @@
         kind, payload = entry.command[:1], entry.command[1:]
         outcome = None
         if kind == types.COMMAND:
-            outcome = machine.apply(self.tables, payload, self.applied)
+            outcome = state_machine.apply(self.tables, payload, self.applied)
         elif kind == types.MEMBERS:
             members = types.unpack_members(entry.command)
             events.log(
@@ -222,7 +222,7 @@
         if index % self.snapshot_every or index <= self.replica.log.base_index:
             return None
         members = transfer.members_at(self.replica, index)
-        packed = snapshot.pack(members, machine.dump(self.tables))
+        packed = snapshot.pack(members, state_machine.dump(self.tables))
         return wal.Snapshot(index, self.replica.log.term_at(index), packed)
 
     def keep_snapshot(self, made: wal.Snapshot) -> None:
--- a/testing/test_leases.py
+++ b/testing/test_leases.py
@@ -6,7 +6,7 @@
 
 from _arbutuswalk.control import leases
 from _arbutuswalk.state import commands
-from _arbutuswalk.state import machine
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
@@ -15,7 +15,7 @@
 def tables():
     made = rows.Tables()
     command = commands.RegisterEntry("e", 1, "a", "l", "d", 1, "r")
-    machine.apply(made, machine.stamp(command, 1), 1)
+    state_machine.apply(made, state_machine.stamp(command, 1), 1)
     return made
 
 
@@ -64,7 +64,7 @@
     def test_every_entry_has_to_have_seen_the_reservation(self, tables):
         made = leases.Leases(since=0.0)
         command = commands.Isolate("f", "u", 1, "e")
-        machine.apply(tables, machine.stamp(command, 1), 7)
+        state_machine.apply(tables, state_machine.stamp(command, 1), 7)
         made.note(sync(1, view_version=6), 1.0)
         assert not made.is_alone(tables, "u")
         made.note(sync(1, view_version=7, active=["u"]), 1.1)
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -7,8 +7,8 @@
 from _arbutuswalk.entry import calls
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import ledger
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 
 
@@ -30,8 +30,8 @@
 
 
 def apply(tables, command, at_ms=1):
-    return machine.apply(
-        tables, machine.stamp(command, at_ms), tables.applied + 1
+    return state_machine.apply(
+        tables, state_machine.stamp(command, at_ms), tables.applied + 1
     )
 
 
@@ -127,7 +127,7 @@
             return original_begin(tables, command)
 
         monkeypatch.setitem(
-            machine._HANDLERS, commands.BeginCall, grant_unknown
+            state_machine._HANDLERS, commands.BeginCall, grant_unknown
         )
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -8,9 +8,9 @@
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import compare
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import moveplan
 from _arbutuswalk.state import outcomes
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 
 BAKE_S = 20
@@ -18,8 +18,8 @@
 
 
 def apply(tables, command, at_ms):
-    payload = machine.stamp(command, at_ms)
-    return machine.apply(tables, payload, tables.applied + 1)
+    payload = state_machine.stamp(command, at_ms)
+    return state_machine.apply(tables, payload, tables.applied + 1)
 
 
 def make_inventory(**versions):
@@ -270,7 +270,9 @@
         simulation.available_versions.add(("model", "v2"))
         simulation.run(15)
         simulation.trials = moveplan.Trials()
-        simulation.tables = machine.load(machine.dump(simulation.tables))
+        simulation.tables = state_machine.load(
+            state_machine.dump(simulation.tables)
+        )
         simulation.run(DEADLINE_S)
         assert simulation.last_move().state == "done", simulation.last_move()
 
--- a/testing/test_routeconfig.py
+++ b/testing/test_routeconfig.py
@@ -8,9 +8,9 @@
 
 from _arbutuswalk.routing import routetable
 from _arbutuswalk.state import commands
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import routeconfig
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 
 
@@ -121,8 +121,8 @@
     def publish(self, tables, version, source):
         config = routeconfig.to_json(make_config(version=version))
         command = commands.PublishRoutes(version, config, source)
-        payload = machine.stamp(command, 1000)
-        return machine.apply(tables, payload, tables.applied + 1)
+        payload = state_machine.stamp(command, 1000)
+        return state_machine.apply(tables, payload, tables.applied + 1)
 
     def test_the_highest_version_wins_and_others_are_accepted(self):
         tables = rows.Tables()
@@ -143,8 +143,8 @@
             commands.BeginRollout("llm", "v2", 12000),
             commands.SettleUsage(7, {"a": 3}),
         ):
-            machine.apply(tables, machine.stamp(command, 1000), 9)
-        loaded = machine.load(machine.dump(tables))
+            state_machine.apply(tables, state_machine.stamp(command, 1000), 9)
+        loaded = state_machine.load(state_machine.dump(tables))
         assert loaded.routes_version == 5
         assert loaded.rollouts == tables.rollouts
         assert loaded.usage == {"7": {"a": 3}}
@@ -157,5 +157,5 @@
         tables = rows.Tables()
         for counts in ({"a": 3}, {"a": 4}):
             command = commands.SettleUsage(7, counts)
-            machine.apply(tables, machine.stamp(command, 1000), 1)
+            state_machine.apply(tables, state_machine.stamp(command, 1000), 1)
         assert tables.usage == {"7": {"a": 3}}
--- a/testing/test_state.py
+++ b/testing/test_state.py
@@ -7,8 +7,8 @@
 
 from _arbutuswalk.state import charges
 from _arbutuswalk.state import commands
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.state import view
 
@@ -19,8 +19,8 @@
 
 
 def apply(tables, command, at_ms=1):
-    payload = machine.stamp(command, at_ms)
-    return machine.apply(tables, payload, tables.applied + 1)
+    payload = state_machine.stamp(command, at_ms)
+    return state_machine.apply(tables, payload, tables.applied + 1)
 
 
 def configure(tables, operation, expected, operator="ann", **changes):
@@ -263,7 +263,7 @@
 
 class TestMachine:
     def test_unknown_command_changes_nothing(self, tables):
-        outcome = machine.apply(tables, b'5 ["Nonsense", 1]', 1)
+        outcome = state_machine.apply(tables, b'5 ["Nonsense", 1]', 1)
         assert isinstance(outcome, outcomes.Stale)
         assert tables.applied == 1
 
--- a/testing/worlds.py
+++ b/testing/worlds.py
@@ -10,8 +10,8 @@
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.state import ledger
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.state import view
 from _arbutuswalk.wire import link
@@ -105,11 +105,11 @@
     def commit(self, command):
         self.index += 1
         at_ms = int(self.loop.time() * 1000)
-        payload = machine.stamp(command, at_ms)
-        outcome = machine.apply(self.tables, payload, self.index)
+        payload = state_machine.stamp(command, at_ms)
+        outcome = state_machine.apply(self.tables, payload, self.index)
         # What a restart would load must be what is there.
-        dumped = machine.dump(self.tables)
-        assert machine.dump(machine.load(dumped)) == dumped
+        dumped = state_machine.dump(self.tables)
+        assert state_machine.dump(state_machine.load(dumped)) == dumped
         return outcome
 
     def client(self):
