--- a/src/_arbutuswalk/control/duties.py
+++ b/src/_arbutuswalk/control/duties.py
@@ -15,7 +15,7 @@
 from _arbutuswalk.control import process
 from _arbutuswalk.control import scaling
 from _arbutuswalk.control import usage_reports
-from _arbutuswalk.state import fleetplan
+from _arbutuswalk.state import scaling_policy
 
 TICK_S = 0.25
 MARGIN_S = 0.3
@@ -149,7 +149,7 @@
         kind = "reclaimable" if wanted.reclaimable else "on-demand"
         subject = f"{upstream}/{wanted.domain}/{kind}"
         _note(holder, "scaling", subject, wanted.count, outcome)
-        fleetplan.note_outcome(
+        scaling_policy.note_outcome(
             fleets.fleet(upstream),
             wanted,
             accepted=outcome == DONE,
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -2,9 +2,9 @@
 
 from _arbutuswalk.control import process
 from _arbutuswalk.routing import directory
-from _arbutuswalk.state import fleetplan
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import routeconfig
+from _arbutuswalk.state import scaling_policy
 
 SILENT_S = 4.0
 """Silence after which an endpoint does not count as serving: three missed
@@ -21,19 +21,19 @@
     """
 
     def __init__(self):
-        self.by_upstream: dict[str, fleetplan.Fleet] = {}
+        self.by_upstream: dict[str, scaling_policy.Fleet] = {}
         self.version = 0
         self.reclaimed: set[tuple[str, int]] = set()
         self.config: routeconfig.RouteConfig | None = None
 
-    def fleet(self, upstream: str) -> fleetplan.Fleet:
+    def fleet(self, upstream: str) -> scaling_policy.Fleet:
         """Returns an upstream's fleet, empty at first."""
-        return self.by_upstream.setdefault(upstream, fleetplan.Fleet())
+        return self.by_upstream.setdefault(upstream, scaling_policy.Fleet())
 
 
 def decide(
     parts: process.Parts, fleets: Fleets
-) -> list[tuple[str, fleetplan.Order]]:
+) -> list[tuple[str, scaling_policy.Order]]:
     """Returns the orders that are due, with the upstream of each."""
     now = parts.member.now()
     loads = parts.hub.loads()
@@ -50,8 +50,8 @@
         fleet = fleets.fleet(upstream.name)
         _note_reclaims(fleet, fleets.reclaimed, rows, now)
         running = sum(loads.get(row.endpoint.id, (0, 0))[0] for row in rows)
-        fleetplan.note_load(fleet, running, now)
-        orders = fleetplan.decide(
+        scaling_policy.note_load(fleet, running, now)
+        orders = scaling_policy.decide(
             fleet, upstream.scaling, _ready(rows, now), now
         )
         due += [(upstream.name, order) for order in orders]
@@ -59,7 +59,7 @@
 
 
 def _note_reclaims(
-    fleet: fleetplan.Fleet,
+    fleet: scaling_policy.Fleet,
     reclaimed: set[tuple[str, int]],
     rows: list[directory.Row],
     now: float,
@@ -84,7 +84,7 @@
             for other in rows
         )
         if placed is not None and placed.count > staying:
-            fleetplan.note_reclaim(fleet, said.domain, now)
+            scaling_policy.note_reclaim(fleet, said.domain, now)
 
 
 def _is_rolling(parts: process.Parts, upstream: str) -> bool:
@@ -105,8 +105,10 @@
     return [each for each in fleets.config.upstreams if each.scaling]
 
 
-def _ready(rows: list[directory.Row], now: float) -> dict[fleetplan.Key, int]:
-    counts: dict[fleetplan.Key, int] = {}
+def _ready(
+    rows: list[directory.Row], now: float
+) -> dict[scaling_policy.Key, int]:
+    counts: dict[scaling_policy.Key, int] = {}
     for row in rows:
         said = row.endpoint
         if said.state != directory.READY or now - row.heard_at > SILENT_S:
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -10,10 +10,10 @@
 from _arbutuswalk.routing import health
 from _arbutuswalk.routing import recent
 from _arbutuswalk.state import evidence
-from _arbutuswalk.state import fleetplan
 from _arbutuswalk.state import rolloutplan
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import routeconfig
+from _arbutuswalk.state import scaling_policy
 from _arbutuswalk.state import tables as rows
 
 SCALING = routeconfig.Scaling(
@@ -157,7 +157,7 @@
     """Simulates a platform with start-up delays, reclaims and shortages."""
 
     def __init__(self, ready):
-        self.fleet = fleetplan.Fleet()
+        self.fleet = scaling_policy.Fleet()
         self.ready = dict(ready)
         self.starting = []
         self.unavailable_until = {}
@@ -170,8 +170,8 @@
             if ready_at <= self.now:
                 self.starting.remove((ready_at, pool_key, count))
                 self.ready[pool_key] = self.ready.get(pool_key, 0) + count
-        fleetplan.note_load(self.fleet, running, self.now)
-        for order in fleetplan.decide(
+        scaling_policy.note_load(self.fleet, running, self.now)
+        for order in scaling_policy.decide(
             self.fleet, SCALING, self.ready, self.now
         ):
             self.place_order(order)
@@ -192,7 +192,7 @@
             and self.now < self.unavailable_until.get(order.domain, 0)
         )
         accepted = not (unavailable and order.count > existing)
-        fleetplan.note_outcome(
+        scaling_policy.note_outcome(
             self.fleet, order, accepted=accepted, now=self.now
         )
         if not accepted:
@@ -208,7 +208,7 @@
 
     def reclaim(self, domain, unavailable_s):
         self.ready[domain, True] = 0
-        fleetplan.note_reclaim(self.fleet, domain, self.now)
+        scaling_policy.note_reclaim(self.fleet, domain, self.now)
         for name in SCALING.prices:
             self.unavailable_until[name] = self.now + unavailable_s
 
@@ -233,7 +233,7 @@
             if not reclaimable
         )
         assert on_demand == 0
-        assert simulation.total >= 20 / fleetplan.REQUESTS_PER_ENDPOINT
+        assert simulation.total >= 20 / scaling_policy.REQUESTS_PER_ENDPOINT
 
     def test_cost_falls_below_that_of_the_initial_fleet(self):
         simulation = make_fleet_simulation()
@@ -253,7 +253,8 @@
         for _ in range(24):
             simulation.step(running=60)
         assert (
-            simulation.total >= 60 / fleetplan.REQUESTS_PER_ON_DEMAND_ENDPOINT
+            simulation.total
+            >= 60 / scaling_policy.REQUESTS_PER_ON_DEMAND_ENDPOINT
         )
         assert (
             sum(
@@ -277,7 +278,7 @@
         for _ in range(80):
             simulation.step(running=60)
         simulation.reclaim("d1", unavailable_s=13.0)
-        minimum = 60 / fleetplan.REQUESTS_PER_ON_DEMAND_ENDPOINT
+        minimum = 60 / scaling_policy.REQUESTS_PER_ON_DEMAND_ENDPOINT
         for _ in range(24):
             simulation.step(running=60)
             assert simulation.total >= minimum
@@ -288,13 +289,15 @@
         simulation = make_fleet_simulation()
         for _ in range(80):
             simulation.step(running=30)
-        before = fleetplan.required_count(
+        before = scaling_policy.required_count(
             simulation.fleet, SCALING, simulation.now
         )
         for _ in range(16):
             simulation.step(running=200)
         assert (
-            fleetplan.required_count(simulation.fleet, SCALING, simulation.now)
+            scaling_policy.required_count(
+                simulation.fleet, SCALING, simulation.now
+            )
             == before
         )
 
@@ -303,7 +306,7 @@
         for _ in range(80):
             simulation.step(running=60)
         simulation.reclaim("d1", unavailable_s=13.0)
-        orders = fleetplan.decide(
+        orders = scaling_policy.decide(
             simulation.fleet, SCALING, simulation.ready, simulation.now + 0.1
         )
         assert sum(order.count for order in orders if not order.reclaimable) > 1
@@ -324,7 +327,7 @@
                     for reclaimable in (False, True)
                 )
                 assert placed <= SCALING.maximum
-        assert simulation.total >= fleetplan.MIN_ENDPOINTS
+        assert simulation.total >= scaling_policy.MIN_ENDPOINTS
 
     def test_a_lost_endpoint_is_ordered_again(self):
         simulation = make_fleet_simulation()
