--- a/bench/moves.py
+++ b/bench/moves.py
@@ -10,7 +10,7 @@
 from _arbutuswalk.routing import evidence
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
-from _arbutuswalk.state import moveplan
+from _arbutuswalk.state import move_policy
 from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from bench import rig
@@ -70,7 +70,7 @@
                 continue
             if self.since_ms is None:
                 self.since_ms = now_ms
-            sums = moveplan.sum_reports(reports)
+            sums = move_policy.sum_reports(reports)
             new = [sums.get(f"model|{row.new}|{r}") for r in row.shares]
             ran = sum(s.ran for s in new if s)
             failed = sum(s.errors for s in new if s)
@@ -103,10 +103,10 @@
     """The product's decision."""
 
     def __init__(self):
-        self.trials = moveplan.Trials()
+        self.trials = move_policy.Trials()
 
     def __call__(self, tables, reports, now_ms):
-        return moveplan.decide(tables, reports, self.trials, now_ms)
+        return move_policy.decide(tables, reports, self.trials, now_ms)
 
 
 def behaviour(case, route, share, elapsed_s):
--- a/src/_arbutuswalk/control/systems.py
+++ b/src/_arbutuswalk/control/systems.py
@@ -10,7 +10,7 @@
 from _arbutuswalk.control import service as services
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import entries
-from _arbutuswalk.state import moveplan
+from _arbutuswalk.state import move_policy
 from _arbutuswalk.state import outcomes
 
 TICK_S = 0.25
@@ -37,7 +37,7 @@
         if values["platform"]:
             self.platform = platform.Platform(address=values["platform"])
         self.term = -1
-        self.trials = moveplan.Trials()
+        self.trials = move_policy.Trials()
         self.meter = metering.Meter()
         self.notices = 0
         self.charge_at = 0.0
@@ -60,7 +60,7 @@
         term = self.service.member.replica.term
         if term != self.term:
             self.term = term
-            self.trials = moveplan.Trials()
+            self.trials = move_policy.Trials()
             self.meter = metering.Meter()
             self.notices = 0
 
@@ -87,7 +87,7 @@
     def _due_moves(self) -> list[commands.StepMove]:
         tables = self.service.member.tables
         reports = self.service.leases.reports(tables)
-        return moveplan.decide(tables, reports, self.trials, self._now_ms())
+        return move_policy.decide(tables, reports, self.trials, self._now_ms())
 
     async def _step_move(self, command: commands.StepMove) -> None:
         outcome = await self.submit(command)
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -8,7 +8,7 @@
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import compare
-from _arbutuswalk.state import moveplan
+from _arbutuswalk.state import move_policy
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
@@ -39,7 +39,7 @@
         self.rate = rate
         self.rng = random.Random(seed)
         self.tables = rows.Tables()
-        self.trials = moveplan.Trials()
+        self.trials = move_policy.Trials()
         self.now_ms = 1000
         self.counts = {}
         self.available_versions = {("model", "v1"), ("claims", "v1")}
@@ -79,7 +79,7 @@
                         old_slow,
                         new_slow,
                     )
-        for step in moveplan.decide(
+        for step in move_policy.decide(
             self.tables, self.reports(), self.trials, self.now_ms
         ):
             apply(self.tables, step, self.now_ms)
@@ -173,7 +173,7 @@
             shares = simulation.last_move().shares
             if shares["claim"]:
                 break
-        assert shares["lots"] >= moveplan.MIN_REPEATABLE_SHARE_PER_MILLE
+        assert shares["lots"] >= move_policy.MIN_REPEATABLE_SHARE_PER_MILLE
         assert shares["claim"] <= 50
 
 
@@ -269,7 +269,7 @@
         simulation.apply(model="v2")
         simulation.available_versions.add(("model", "v2"))
         simulation.run(15)
-        simulation.trials = moveplan.Trials()
+        simulation.trials = move_policy.Trials()
         simulation.tables = state_machine.load(
             state_machine.dump(simulation.tables)
         )
@@ -292,7 +292,7 @@
                     compare.Block(18, old_failures, 3, new_failures)
                 )
             false_positives += (
-                comparison.log_evidence >= moveplan.LOG_EVIDENCE_THRESHOLD
+                comparison.log_evidence >= move_policy.LOG_EVIDENCE_THRESHOLD
             )
         assert false_positives <= 3
 
@@ -301,7 +301,7 @@
         comparison.update(compare.Block(100, 0, 0, 0))
         for _ in range(5):
             comparison.update(compare.Block(5, 0, 1, 1))
-        assert comparison.log_evidence >= moveplan.LOG_EVIDENCE_THRESHOLD
+        assert comparison.log_evidence >= move_policy.LOG_EVIDENCE_THRESHOLD
 
     def test_successes_never_count_against_the_new_version(self):
         comparison = compare.Comparison()
