--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -9,7 +9,7 @@
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import evidence
-from _arbutuswalk.state import rolloutplan
+from _arbutuswalk.state import rollout_policy
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import tables as rows
 
@@ -27,7 +27,7 @@
 
     def __init__(self, *, term: int):
         self.term = term
-        self.by_rollout: dict[tuple, rolloutplan.Trial] = {}
+        self.by_rollout: dict[tuple, rollout_policy.Trial] = {}
 
 
 async def run(parts: process.Parts, canary_share: float) -> None:
@@ -78,9 +78,9 @@
     if trial is None:
         passed_s = (_now_ms(parts) - row.started_ms) / 1000
         began_at = now - max(0.0, passed_s)
-        trial = rolloutplan.Trial(new=new, old=old, began_at=began_at)
+        trial = rollout_policy.Trial(new=new, old=old, began_at=began_at)
         trials.by_rollout[key] = trial
-    return rolloutplan.decide(
+    return rollout_policy.decide(
         upstream,
         row,
         trial,
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -10,7 +10,7 @@
 from _arbutuswalk.routing import health
 from _arbutuswalk.routing import recent
 from _arbutuswalk.state import evidence
-from _arbutuswalk.state import rolloutplan
+from _arbutuswalk.state import rollout_policy
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import routeconfig
 from _arbutuswalk.state import scaling_policy
@@ -350,7 +350,7 @@
         self.fails_from_s = fails_from_s
         self.old_rate = old_rate
         self.row = rows.RolloutRow("v2", "growing", 0, 0, 0, 12000, 0, "")
-        self.trial = rolloutplan.Trial(
+        self.trial = rollout_policy.Trial(
             new=evidence.Sums(), old=evidence.Sums(), began_at=0.0
         )
         self.sums = {"v1": [0] * 4, "v2": [0] * 4}
@@ -375,7 +375,7 @@
                 version: evidence.Sums(*counts)
                 for version, counts in self.sums.items()
             }
-            step = rolloutplan.decide(
+            step = rollout_policy.decide(
                 "u",
                 self.row,
                 self.trial,
