--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -22,7 +22,7 @@
 UPSTREAMS = ["u1", "u2"]
 
 
-class FakeExchange:
+class Exchange:
     """Upstreams that may lose requests and responses, or delay them."""
 
     def __init__(self, loop, rng):
@@ -72,22 +72,22 @@
 
 
 class LedgerMachine(stateful.RuleBasedStateMachine):
-    """Two entries and resending callers, with lost messages and restarts."""
+    """Two entries, callers that resend, and everything that can be lost."""
 
     def __init__(self):
         super().__init__()
         self.loop = virtual.VirtualLoop()
-        self.original_run = exchange.run
+        self.original = exchange.run
         self.entries = {}
         self.incarnation = 1
         self.sent = []
-        self.call_count = 0
+        self.number = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
         self.rng = random.Random(seed)
         self.control = worlds.Control(self.loop, self.rng)
-        self.exchange = FakeExchange(self.loop, self.rng)
+        self.exchange = Exchange(self.loop, self.rng)
         self.control.modes = CONTROL_MODES
         self.exchange.modes = EXCHANGE_MODES
         exchange.run = self.exchange.run
@@ -107,7 +107,7 @@
             )
         self.entries[name] = entry
 
-    def _advance(self, seconds):
+    def _pass(self, seconds):
         for entry in self.entries.values():
             for row in entry.upstreams.rows.values():
                 row.heard_at = self.loop.time() + seconds
@@ -130,9 +130,9 @@
     def send(self, name, key, body):
         entry = self.entries[name]
         upstream = inventories.find_upstream(entry.inventory, "claims")
-        self.call_count += 1
+        self.number += 1
         call = services.ServiceCall(
-            call_id=f"{name}~{self.call_count}",
+            call_id=f"{name}~{self.number}",
             workspace="w",
             upstream=upstream,
             route=upstream["routes"][0],
@@ -150,20 +150,20 @@
     @stateful.precondition(lambda self: self.sent)
     @stateful.rule(seconds=st.sampled_from([0.05, 6.0]))
     def resend_everywhere(self, seconds):
-        """Resends the last call to every entry, as after a lost response."""
+        """A caller that lost its answer asks every entry."""
         _, call, _ = self.sent[-1]
-        self._advance(seconds)
+        self._pass(seconds)
         for name in self.entries:
             self.send(name, int(call.key[1:]), call.body)
-        self._advance(seconds)
+        self._pass(seconds)
 
     @stateful.rule(seconds=st.sampled_from([0.001, 0.006, 0.05, 1.0, 12.0]))
     def time_passes(self, seconds):
-        self._advance(seconds)
+        self._pass(seconds)
 
     @stateful.rule(name=st.sampled_from(["a", "b"]), told=st.booleans())
     def entry_dies(self, name, told):
-        """Kills an entry at any step and restarts it."""
+        """Kills an entry at whatever step it is, and starts it again."""
         entry = self.entries[name]
         for owner, _, task in self.sent:
             if owner == name and not task.done():
@@ -179,7 +179,7 @@
 
     @stateful.rule(name=st.sampled_from(["a", "b"]))
     def entry_is_paused_and_declared_gone(self, name):
-        """The entry continues under an incarnation that counts as gone."""
+        """The entry goes on under an incarnation that counts as gone."""
         entry = self.entries[name]
         self.control.commit(
             commands.SetEntryState(name, entry.incarnation, entries.GONE)
@@ -216,7 +216,7 @@
                 assert result.body == f"done {call.key}".encode()
 
     def _check_records(self):
-        """A record that stays running would block its key forever."""
+        """A record that stays running for nobody blocks its key for good."""
         for call, row in self.control.tables.calls.items():
             assert row.state != "running", (call, row)
 
@@ -224,10 +224,10 @@
         try:
             if hasattr(self, "exchange"):
                 self.control.modes = ["ok"]
-                self._advance(80)
+                self._pass(80)
                 self.no_key_ran_twice()
                 self._check_answers()
                 self._check_records()
         finally:
-            exchange.run = self.original_run
+            exchange.run = self.original
             virtual.close(self.loop)
