--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -106,17 +106,17 @@
 
 def sum_outcomes(
     reports: list[dict[str, Any]], upstream: str, target: str
-) -> tuple[evidence.Sums, evidence.Sums]:
+) -> tuple[evidence.OutcomeCounts, evidence.OutcomeCounts]:
     """Returns the sums of the target and of all other versions."""
-    new = old = evidence.Sums()
+    new = old = evidence.OutcomeCounts()
     for report in reports:
         for name, version, *counts in report.get("outcomes", []):
             if name != upstream:
                 continue
             if version == target:
-                new = evidence.add(new, counts)
+                new = evidence.add_counts(new, counts)
             else:
-                old = evidence.add(old, counts)
+                old = evidence.add_counts(old, counts)
     return new, old
 
 
--- a/src/_arbutuswalk/state/evidence.py
+++ b/src/_arbutuswalk/state/evidence.py
@@ -10,7 +10,7 @@
 from _arbutuswalk.state import compare
 
 
-class Sums(NamedTuple):
+class OutcomeCounts(NamedTuple):
     """Counts of outcomes of one version, summed since each entry's start.
 
     Attributes:
@@ -36,19 +36,21 @@
         counted_old: Counts of the old version already in the tests.
     """
 
-    def __init__(self, *, new: Sums, old: Sums):
+    def __init__(self, *, new: OutcomeCounts, old: OutcomeCounts):
         self.errors = compare.Comparison()
         self.slowness = compare.Comparison()
         self.counted_new = new
         self.counted_old = old
 
 
-def add(totals: Sums, counts: Iterable[int]) -> Sums:
+def add_counts(totals: OutcomeCounts, counts: Iterable[int]) -> OutcomeCounts:
     """Returns the totals with one entry's counts added."""
-    return Sums(*map(sum, zip(totals, counts, strict=True)))
+    return OutcomeCounts(*map(sum, zip(totals, counts, strict=True)))
 
 
-def update_tests(evidence: Evidence, new: Sums, old: Sums) -> Sums:
+def update_tests(
+    evidence: Evidence, new: OutcomeCounts, old: OutcomeCounts
+) -> OutcomeCounts:
     """Passes the increase since the last update to both tests.
 
     Returns:
@@ -91,6 +93,8 @@
     return ""
 
 
-def _increase(before: Sums, after: Sums) -> Sums:
+def _increase(before: OutcomeCounts, after: OutcomeCounts) -> OutcomeCounts:
     """Returns the increase, or 0 if totals shrink as an entry is removed."""
-    return Sums(*(max(0, b - a) for a, b in zip(before, after, strict=True)))
+    return OutcomeCounts(
+        *(max(0, b - a) for a, b in zip(before, after, strict=True))
+    )
--- a/src/_arbutuswalk/state/move_policy.py
+++ b/src/_arbutuswalk/state/move_policy.py
@@ -47,7 +47,13 @@
         last_step_ms: Time of the last change of the share.
     """
 
-    def __init__(self, *, old: evidence.Sums, new: evidence.Sums, now_ms: int):
+    def __init__(
+        self,
+        *,
+        old: evidence.OutcomeCounts,
+        new: evidence.OutcomeCounts,
+        now_ms: int,
+    ):
         self.evidence = evidence.Evidence(new=new, old=old)
         self.succeeded_in_step = 0
         self.started_ms = now_ms
@@ -81,14 +87,16 @@
 
 def sum_reports(
     reports: dict[str, dict[str, Any]],
-) -> dict[str, evidence.Sums]:
+) -> dict[str, evidence.OutcomeCounts]:
     """Sums the entries' counts by ``upstream|version|route``."""
-    sums: dict[str, evidence.Sums] = {}
+    sums: dict[str, evidence.OutcomeCounts] = {}
     for report in reports.values():
         for key, counts in report.get("evidence", {}).items():
             ran, errors, slow, timed = counts
-            previous = sums.get(key, evidence.Sums())
-            sums[key] = evidence.add(previous, (ran, errors, timed, slow))
+            previous = sums.get(key, evidence.OutcomeCounts())
+            sums[key] = evidence.add_counts(
+                previous, (ran, errors, timed, slow)
+            )
     return sums
 
 
@@ -134,7 +142,7 @@
     tables: rows.Tables,
     move: str,
     row: rows.MoveRow,
-    sums: dict[str, evidence.Sums],
+    sums: dict[str, evidence.OutcomeCounts],
     available: set[tuple[str, str]],
     trials: Trials,
     now_ms: int,
@@ -166,14 +174,18 @@
 def _update_trials(
     move: str,
     row: rows.MoveRow,
-    sums: dict[str, evidence.Sums],
+    sums: dict[str, evidence.OutcomeCounts],
     trials: Trials,
     now_ms: int,
 ) -> str:
     """Updates the tests of a move; returns a detected regression, or empty."""
     for route in row.shares:
-        old = sums.get(f"{row.upstream}|{row.old}|{route}", evidence.Sums())
-        new = sums.get(f"{row.upstream}|{row.new}|{route}", evidence.Sums())
+        old = sums.get(
+            f"{row.upstream}|{row.old}|{route}", evidence.OutcomeCounts()
+        )
+        new = sums.get(
+            f"{row.upstream}|{row.new}|{route}", evidence.OutcomeCounts()
+        )
         trial = trials.routes.get((move, route))
         if trial is None:
             trial = RouteTrial(old=old, new=new, now_ms=now_ms)
--- a/src/_arbutuswalk/state/rollout_policy.py
+++ b/src/_arbutuswalk/state/rollout_policy.py
@@ -42,7 +42,11 @@
     """
 
     def __init__(
-        self, *, new: evidence.Sums, old: evidence.Sums, began_at: float
+        self,
+        *,
+        new: evidence.OutcomeCounts,
+        old: evidence.OutcomeCounts,
+        began_at: float,
     ):
         self.evidence = evidence.Evidence(new=new, old=old)
         self.began_at = began_at
@@ -54,8 +58,8 @@
     row: rows.RolloutRow,
     trial: Trial,
     *,
-    new: evidence.Sums,
-    old: evidence.Sums,
+    new: evidence.OutcomeCounts,
+    old: evidence.OutcomeCounts,
     present: bool,
     canary_share: float,
     now: float,
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -351,7 +351,9 @@
         self.old_rate = old_rate
         self.row = rows.RolloutRow("v2", "growing", 0, 0, 0, 12000, 0, "")
         self.trial = rollout_policy.Trial(
-            new=evidence.Sums(), old=evidence.Sums(), began_at=0.0
+            new=evidence.OutcomeCounts(),
+            old=evidence.OutcomeCounts(),
+            began_at=0.0,
         )
         self.sums = {"v1": [0] * 4, "v2": [0] * 4}
         self.history = []
@@ -372,7 +374,7 @@
                 self.request(share, now)
             present = now > 4.0
             counts_by_version = {
-                version: evidence.Sums(*counts)
+                version: evidence.OutcomeCounts(*counts)
                 for version, counts in self.sums.items()
             }
             step = rollout_policy.decide(
