--- a/src/_arbutuswalk/control/metering.py
+++ b/src/_arbutuswalk/control/metering.py
@@ -65,14 +65,14 @@
     used: dict[tuple[str, str], int],
     owners: dict[str, tuple[str, int]],
     interval_s: float,
-) -> charges.Use:
+) -> charges.InstanceUsage:
     owner, slots = owners.get(instance, ("", DEFAULT_SLOTS))
     busy = {
         workspace: max(0, spent - meter.used.get((at, workspace), 0))
         for (at, workspace), spent in used.items()
         if at == instance
     }
-    return charges.Use(
+    return charges.InstanceUsage(
         bill_micro=billed - meter.billed.get(instance, 0),
         idle_account=owner,
         busy=busy,
--- a/src/_arbutuswalk/state/charges.py
+++ b/src/_arbutuswalk/state/charges.py
@@ -9,7 +9,7 @@
 UNOWNED = "unowned"
 
 
-class Use(NamedTuple):
+class InstanceUsage(NamedTuple):
     """Usage of one instance during one billing interval.
 
     Attributes:
@@ -38,7 +38,7 @@
     return outcomes.Accepted()
 
 
-def divide(usages: list[Use]) -> dict[str, int]:
+def divide(usages: list[InstanceUsage]) -> dict[str, int]:
     """Divides bills between accounts so that the amounts sum exactly.
 
     Busy time is charged to the workspace served, in proportion to capacity;
--- a/testing/test_state.py
+++ b/testing/test_state.py
@@ -226,7 +226,7 @@
 
 uses = st.lists(
     st.builds(
-        charges.Use,
+        charges.InstanceUsage,
         bill_micro=st.integers(0, 10**9),
         idle_account=st.sampled_from(["", "ann", "bob"]),
         busy=st.dictionaries(
@@ -246,7 +246,7 @@
         assert all(amount >= 0 for amount in amounts.values())
 
     def test_idle_time_is_charged_to_the_owner(self):
-        use = charges.Use(1000, "ann", {"w1": 25}, 100)
+        use = charges.InstanceUsage(1000, "ann", {"w1": 25}, 100)
         assert charges.divide([use]) == {"workspace/w1": 250, "idle/ann": 750}
 
     def test_interval_is_settled_once(self, tables):
