--- a/src/_arbutuswalk/control/duties.py
+++ b/src/_arbutuswalk/control/duties.py
@@ -149,7 +149,7 @@
         kind = "reclaimable" if wanted.reclaimable else "on-demand"
         subject = f"{upstream}/{wanted.domain}/{kind}"
         _note(holder, "scaling", subject, wanted.count, outcome)
-        scaling_policy.note_outcome(
+        scaling_policy.record_order_outcome(
             fleets.fleet(upstream),
             wanted,
             accepted=outcome == DONE,
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -21,14 +21,16 @@
     """
 
     def __init__(self):
-        self.by_upstream: dict[str, scaling_policy.Fleet] = {}
+        self.by_upstream: dict[str, scaling_policy.FleetState] = {}
         self.version = 0
         self.reclaimed: set[tuple[str, int]] = set()
         self.config: routeconfig.RouteConfig | None = None
 
-    def fleet(self, upstream: str) -> scaling_policy.Fleet:
+    def fleet(self, upstream: str) -> scaling_policy.FleetState:
         """Returns an upstream's fleet, empty at first."""
-        return self.by_upstream.setdefault(upstream, scaling_policy.Fleet())
+        return self.by_upstream.setdefault(
+            upstream, scaling_policy.FleetState()
+        )
 
 
 def decide(
@@ -50,7 +52,7 @@
         fleet = fleets.fleet(upstream.name)
         _note_reclaims(fleet, fleets.reclaimed, rows, now)
         running = sum(loads.get(row.endpoint.id, (0, 0))[0] for row in rows)
-        scaling_policy.note_load(fleet, running, now)
+        scaling_policy.record_load(fleet, running, now)
         orders = scaling_policy.decide(
             fleet, upstream.scaling, _ready(rows, now), now
         )
@@ -59,7 +61,7 @@
 
 
 def _note_reclaims(
-    fleet: scaling_policy.Fleet,
+    fleet: scaling_policy.FleetState,
     reclaimed: set[tuple[str, int]],
     rows: list[directory.Row],
     now: float,
@@ -76,7 +78,7 @@
         if key in reclaimed:
             continue
         reclaimed.add(key)
-        placed = fleet.placed.get((said.domain, True))
+        placed = fleet.accepted_orders.get((said.domain, True))
         staying = sum(
             other.endpoint.domain == said.domain
             and other.endpoint.reclaimable
@@ -84,7 +86,7 @@
             for other in rows
         )
         if placed is not None and placed.count > staying:
-            scaling_policy.note_reclaim(fleet, said.domain, now)
+            scaling_policy.record_reclaim(fleet, said.domain, now)
 
 
 def _is_rolling(parts: process.Parts, upstream: str) -> bool:
@@ -107,8 +109,8 @@
 
 def _ready(
     rows: list[directory.Row], now: float
-) -> dict[scaling_policy.Key, int]:
-    counts: dict[scaling_policy.Key, int] = {}
+) -> dict[scaling_policy.PoolKey, int]:
+    counts: dict[scaling_policy.PoolKey, int] = {}
     for row in rows:
         said = row.endpoint
         if said.state != directory.READY or now - row.heard_at > SILENT_S:
--- a/src/_arbutuswalk/state/scaling_policy.py
+++ b/src/_arbutuswalk/state/scaling_policy.py
@@ -43,7 +43,7 @@
 BOOT_GRACE_S = 2.0
 """Time beyond the start-up after which an ordered endpoint is missing."""
 
-Key = tuple[str, bool]
+PoolKey = tuple[str, bool]
 """Failure domain, and whether its endpoints are reclaimable."""
 
 
@@ -62,11 +62,11 @@
     accepted_at: float
 
 
-class Fleet:
+class FleetState:
     """Orders and load of one upstream, as known to the scaling process.
 
     Attributes:
-        placed: Last accepted order by domain and kind.
+        accepted_orders: Last accepted order by domain and kind.
         refused_at: Time of the last refused order by domain and kind.
         load_samples: Times and concurrent requests, oldest first.
         loaded_since: Time of the first sample with load, None before.
@@ -74,8 +74,8 @@
     """
 
     def __init__(self):
-        self.placed: dict[Key, AcceptedOrder] = {}
-        self.refused_at: dict[Key, float] = {}
+        self.accepted_orders: dict[PoolKey, AcceptedOrder] = {}
+        self.refused_at: dict[PoolKey, float] = {}
         self.load_samples: collections.deque[tuple[float, int]] = (
             collections.deque()
         )
@@ -83,7 +83,7 @@
         self.initial_endpoints = 0
 
 
-def note_load(fleet: Fleet, running: int, now: float) -> None:
+def record_load(fleet: FleetState, running: int, now: float) -> None:
     """Records the number of concurrent requests."""
     fleet.load_samples.append((now, running))
     while fleet.load_samples[0][0] < now - LOAD_WINDOW_S:
@@ -92,20 +92,20 @@
         fleet.loaded_since = now
 
 
-def note_outcome(
-    fleet: Fleet, order: Order, *, accepted: bool, now: float
+def record_order_outcome(
+    fleet: FleetState, order: Order, *, accepted: bool, now: float
 ) -> None:
     """Records whether an order was accepted."""
     key = (order.domain, order.reclaimable)
     if accepted:
-        fleet.placed[key] = AcceptedOrder(order.count, now)
+        fleet.accepted_orders[key] = AcceptedOrder(order.count, now)
         fleet.refused_at.pop(key, None)
     else:
         fleet.refused_at[key] = now
 
 
 def reclaimable_count(
-    fleet: Fleet, scaling: routeconfig.Scaling, now: float
+    fleet: FleetState, scaling: routeconfig.Scaling, now: float
 ) -> int:
     """Returns the number of reclaimable endpoints for the peak load."""
     peak = max((running for _, running in fleet.load_samples), default=0)
@@ -119,7 +119,7 @@
 
 
 def required_count(
-    fleet: Fleet, scaling: routeconfig.Scaling, now: float
+    fleet: FleetState, scaling: routeconfig.Scaling, now: float
 ) -> int:
     """Returns the number of endpoints required even at the on-demand price."""
     load_samples = [running for _, running in fleet.load_samples] or [0]
@@ -130,7 +130,10 @@
 
 
 def _clamp_count(
-    fleet: Fleet, scaling: routeconfig.Scaling, endpoints: float, now: float
+    fleet: FleetState,
+    scaling: routeconfig.Scaling,
+    endpoints: float,
+    now: float,
 ) -> int:
     limit = scaling.maximum * len(scaling.prices)
     count = max(MIN_ENDPOINTS, math.ceil(endpoints))
@@ -139,23 +142,23 @@
     return min(limit, count)
 
 
-def _is_learning_load(fleet: Fleet, now: float) -> bool:
+def _is_learning_load(fleet: FleetState, now: float) -> bool:
     """Returns whether the load was seen for less than ``LOAD_LEARNING_S``."""
     since = fleet.loaded_since
     return since is None or now - since < LOAD_LEARNING_S
 
 
-def note_reclaim(fleet: Fleet, domain: str, now: float) -> None:
+def record_reclaim(fleet: FleetState, domain: str, now: float) -> None:
     """Records that a domain's reclaimable endpoints are being reclaimed."""
     key = (domain, True)
-    fleet.placed[key] = AcceptedOrder(0, now)
+    fleet.accepted_orders[key] = AcceptedOrder(0, now)
     fleet.refused_at[key] = now
 
 
 def decide(
-    fleet: Fleet,
+    fleet: FleetState,
     scaling: routeconfig.Scaling,
-    ready: dict[Key, int],
+    ready: dict[PoolKey, int],
     now: float,
 ) -> list[Order]:
     """Returns the orders that are due.
@@ -183,9 +186,9 @@
 
 
 def _adopt_running(
-    fleet: Fleet,
+    fleet: FleetState,
     scaling: routeconfig.Scaling,
-    ready: dict[Key, int],
+    ready: dict[PoolKey, int],
     now: float,
 ) -> None:
     """Treats running endpoints as ordered where no order is known."""
@@ -193,20 +196,20 @@
     for domain in scaling.prices:
         for reclaimable in (False, True):
             key = (domain, reclaimable)
-            if key not in fleet.placed:
+            if key not in fleet.accepted_orders:
                 before_last_boot = now - scaling.boot_s - BOOT_GRACE_S
-                fleet.placed[key] = AcceptedOrder(
+                fleet.accepted_orders[key] = AcceptedOrder(
                     ready.get(key, 0), before_last_boot
                 )
 
 
 def _reclaimable_targets(
-    fleet: Fleet,
+    fleet: FleetState,
     scaling: routeconfig.Scaling,
-    ready: dict[Key, int],
+    ready: dict[PoolKey, int],
     count: int,
     now: float,
-) -> dict[Key, int]:
+) -> dict[PoolKey, int]:
     """Spreads the count over the domains that offer reclaimable endpoints."""
     if not scaling.reclaimable_price:
         return {}
@@ -219,7 +222,7 @@
             targets[key] = ready.get(key, 0)
             continue
         share = (count + len(domains) - 1 - position) // len(domains)
-        on_demand = fleet.placed[domain, False].count
+        on_demand = fleet.accepted_orders[domain, False].count
         room = scaling.maximum - on_demand
         lower_bound = max(0, scaling.minimum - on_demand)
         targets[key] = max(lower_bound, min(share, room))
@@ -227,13 +230,13 @@
 
 
 def _on_demand_targets(
-    fleet: Fleet,
+    fleet: FleetState,
     scaling: routeconfig.Scaling,
-    ready: dict[Key, int],
-    reclaimable: dict[Key, int],
+    ready: dict[PoolKey, int],
+    reclaimable: dict[PoolKey, int],
     count: int,
     now: float,
-) -> dict[Key, int]:
+) -> dict[PoolKey, int]:
     """Replaces missing reclaimable endpoints by on-demand ones.
 
     The count rises for missing endpoints that are not already starting, and
@@ -248,7 +251,7 @@
     )
     domains = sorted(scaling.prices, key=scaling.prices.get)
     current = {
-        domain_name: fleet.placed[domain_name, False].count
+        domain_name: fleet.accepted_orders[domain_name, False].count
         for domain_name in domains
     }
     total = sum(current.values())
@@ -260,7 +263,7 @@
             # An order counts until a smaller one is accepted.
             reclaimable_bound = max(
                 reclaimable.get((domain, True), 0),
-                fleet.placed[domain, True].count,
+                fleet.accepted_orders[domain, True].count,
                 PROBE_ENDPOINTS_PER_DOMAIN if reclaimable else 0,
             )
             room = scaling.maximum - reclaimable_bound - targets[domain]
@@ -278,7 +281,9 @@
     return {(domain, False): target for domain, target in targets.items()}
 
 
-def _endpoints_at_risk(fleet: Fleet, staying: list[int], now: float) -> int:
+def _endpoints_at_risk(
+    fleet: FleetState, staying: list[int], now: float
+) -> int:
     """Returns how many endpoints the next reclaim may remove.
 
     While reclaimable endpoints are unavailable, the loss of a second domain
@@ -291,29 +296,29 @@
 
 
 def _starting_count(
-    fleet: Fleet,
+    fleet: FleetState,
     scaling: routeconfig.Scaling,
-    ready: dict[Key, int],
-    key: Key,
+    ready: dict[PoolKey, int],
+    key: PoolKey,
     now: float,
 ) -> int:
     """Returns the number of ordered endpoints that may still be starting."""
-    accepted = fleet.placed[key]
+    accepted = fleet.accepted_orders[key]
     if now - accepted.accepted_at > scaling.boot_s + BOOT_GRACE_S:
         return 0
     return max(0, accepted.count - ready.get(key, 0))
 
 
 def _is_order_due(
-    fleet: Fleet,
+    fleet: FleetState,
     scaling: routeconfig.Scaling,
-    ready: dict[Key, int],
-    key: Key,
+    ready: dict[PoolKey, int],
+    key: PoolKey,
     target: int,
     now: float,
 ) -> bool:
     """Returns whether an order has to be sent or resent."""
-    accepted = fleet.placed[key]
+    accepted = fleet.accepted_orders[key]
     if target < accepted.count:
         return True
     refused_at = fleet.refused_at.get(key, -math.inf)
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -157,7 +157,7 @@
     """Simulates a platform with start-up delays, reclaims and shortages."""
 
     def __init__(self, ready):
-        self.fleet = scaling_policy.Fleet()
+        self.fleet = scaling_policy.FleetState()
         self.ready = dict(ready)
         self.starting = []
         self.unavailable_until = {}
@@ -170,7 +170,7 @@
             if ready_at <= self.now:
                 self.starting.remove((ready_at, pool_key, count))
                 self.ready[pool_key] = self.ready.get(pool_key, 0) + count
-        scaling_policy.note_load(self.fleet, running, self.now)
+        scaling_policy.record_load(self.fleet, running, self.now)
         for order in scaling_policy.decide(
             self.fleet, SCALING, self.ready, self.now
         ):
@@ -192,7 +192,7 @@
             and self.now < self.unavailable_until.get(order.domain, 0)
         )
         accepted = not (unavailable and order.count > existing)
-        scaling_policy.note_outcome(
+        scaling_policy.record_order_outcome(
             self.fleet, order, accepted=accepted, now=self.now
         )
         if not accepted:
@@ -208,7 +208,7 @@
 
     def reclaim(self, domain, unavailable_s):
         self.ready[domain, True] = 0
-        scaling_policy.note_reclaim(self.fleet, domain, self.now)
+        scaling_policy.record_reclaim(self.fleet, domain, self.now)
         for name in SCALING.prices:
             self.unavailable_until[name] = self.now + unavailable_s
 
@@ -323,7 +323,7 @@
             simulation.step(running=rng.choice([5, 40, 90]))
             for domain in SCALING.prices:
                 placed = sum(
-                    simulation.fleet.placed[domain, reclaimable].count
+                    simulation.fleet.accepted_orders[domain, reclaimable].count
                     for reclaimable in (False, True)
                 )
                 assert placed <= SCALING.maximum
