--- a/bench/moves.py
+++ b/bench/moves.py
@@ -103,7 +103,7 @@
     """The product's decision."""
 
     def __init__(self):
-        self.trials = move_policy.Trials()
+        self.trials = move_policy.MoveTrials()
 
     def __call__(self, tables, reports, now_ms):
         return move_policy.decide(tables, reports, self.trials, now_ms)
--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -27,7 +27,7 @@
 
     def __init__(self, *, term: int):
         self.term = term
-        self.by_rollout: dict[tuple, rollout_policy.Trial] = {}
+        self.by_rollout: dict[tuple, rollout_policy.RolloutTrial] = {}
 
 
 async def run(parts: process.Parts, canary_share: float) -> None:
@@ -78,7 +78,7 @@
     if trial is None:
         passed_s = (_now_ms(parts) - row.started_ms) / 1000
         began_at = now - max(0.0, passed_s)
-        trial = rollout_policy.Trial(new=new, old=old, began_at=began_at)
+        trial = rollout_policy.RolloutTrial(new=new, old=old, began_at=began_at)
         trials.by_rollout[key] = trial
     return rollout_policy.decide(
         upstream,
@@ -86,7 +86,7 @@
         trial,
         new=new,
         old=old,
-        present=_is_present(parts, upstream, row.target),
+        new_version_serving=_is_present(parts, upstream, row.target),
         canary_share=canary_share,
         now=now,
     )
--- a/src/_arbutuswalk/control/systems.py
+++ b/src/_arbutuswalk/control/systems.py
@@ -37,7 +37,7 @@
         if values["platform"]:
             self.platform = platform.Platform(address=values["platform"])
         self.term = -1
-        self.trials = move_policy.Trials()
+        self.trials = move_policy.MoveTrials()
         self.meter = metering.Meter()
         self.notices = 0
         self.charge_at = 0.0
@@ -60,7 +60,7 @@
         term = self.service.member.replica.term
         if term != self.term:
             self.term = term
-            self.trials = move_policy.Trials()
+            self.trials = move_policy.MoveTrials()
             self.meter = metering.Meter()
             self.notices = 0
 
--- a/src/_arbutuswalk/state/move_policy.py
+++ b/src/_arbutuswalk/state/move_policy.py
@@ -74,7 +74,7 @@
     repeatable: bool
 
 
-class Trials:
+class MoveTrials:
     """Evidence on all moves; kept in memory, so a new leader starts empty.
 
     Attributes:
@@ -116,7 +116,7 @@
 def decide(
     tables: rows.Tables,
     reports: dict[str, dict[str, Any]],
-    trials: Trials,
+    trials: MoveTrials,
     now_ms: int,
 ) -> list[commands.StepMove]:
     """Returns the steps of all active moves that are due."""
@@ -144,7 +144,7 @@
     row: rows.MoveRow,
     sums: dict[str, evidence.OutcomeCounts],
     available: set[tuple[str, str]],
-    trials: Trials,
+    trials: MoveTrials,
     now_ms: int,
 ) -> commands.StepMove | None:
     upstream = inventories.find_upstream(tables.inventory, row.upstream)
@@ -175,7 +175,7 @@
     move: str,
     row: rows.MoveRow,
     sums: dict[str, evidence.OutcomeCounts],
-    trials: Trials,
+    trials: MoveTrials,
     now_ms: int,
 ) -> str:
     """Updates the tests of a move; returns a detected regression, or empty."""
@@ -206,7 +206,7 @@
     upstream: inventories.Upstream,
     move: str,
     row: rows.MoveRow,
-    trials: Trials,
+    trials: MoveTrials,
     now_ms: int,
 ) -> commands.StepMove | None:
     """Raises the share of every route whose next step is due."""
--- a/src/_arbutuswalk/state/rollout_policy.py
+++ b/src/_arbutuswalk/state/rollout_policy.py
@@ -32,7 +32,7 @@
 FULL_SHARE_PER_MILLE = 1000
 
 
-class Trial:
+class RolloutTrial:
     """Evidence on one rollout.
 
     Attributes:
@@ -56,11 +56,11 @@
 def decide(
     upstream: str,
     row: rows.RolloutRow,
-    trial: Trial,
+    trial: RolloutTrial,
     *,
     new: evidence.OutcomeCounts,
     old: evidence.OutcomeCounts,
-    present: bool,
+    new_version_serving: bool,
     canary_share: float,
     now: float,
 ) -> commands.StepRollout | None:
@@ -72,7 +72,7 @@
         trial: Evidence so far; updated with the new counts.
         new: Counts of the new version.
         old: Counts of all other versions.
-        present: Whether endpoints of the new version serve.
+        new_version_serving: Whether endpoints of the new version serve.
         canary_share: Fraction of all requests that a bad version may get.
         now: Current time in seconds.
     """
@@ -87,7 +87,10 @@
     )
     if elapsed_fraction >= 1.0:
         return _final_step(upstream, row, trial)
-    if not present or now - trial.last_step_at < MIN_STEP_INTERVAL_S:
+    if (
+        not new_version_serving
+        or now - trial.last_step_at < MIN_STEP_INTERVAL_S
+    ):
         return None
     share = _scheduled_share(elapsed_fraction, canary_share, row.share)
     if share > row.share:
@@ -126,7 +129,7 @@
 
 
 def _final_step(
-    upstream: str, row: rows.RolloutRow, trial: Trial
+    upstream: str, row: rows.RolloutRow, trial: RolloutTrial
 ) -> commands.StepRollout:
     if (
         row.share == FULL_SHARE_PER_MILLE
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -350,7 +350,7 @@
         self.fails_from_s = fails_from_s
         self.old_rate = old_rate
         self.row = rows.RolloutRow("v2", "growing", 0, 0, 0, 12000, 0, "")
-        self.trial = rollout_policy.Trial(
+        self.trial = rollout_policy.RolloutTrial(
             new=evidence.OutcomeCounts(),
             old=evidence.OutcomeCounts(),
             began_at=0.0,
@@ -372,7 +372,7 @@
             share = shares[-1] if shares else 0
             for _ in range(int(per_s * 0.2)):
                 self.request(share, now)
-            present = now > 4.0
+            new_version_serving = now > 4.0
             counts_by_version = {
                 version: evidence.OutcomeCounts(*counts)
                 for version, counts in self.sums.items()
@@ -383,7 +383,7 @@
                 self.trial,
                 new=counts_by_version["v2"],
                 old=counts_by_version["v1"],
-                present=present,
+                new_version_serving=new_version_serving,
                 canary_share=0.1,
                 now=now,
             )
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -39,7 +39,7 @@
         self.rate = rate
         self.rng = random.Random(seed)
         self.tables = rows.Tables()
-        self.trials = move_policy.Trials()
+        self.trials = move_policy.MoveTrials()
         self.now_ms = 1000
         self.counts = {}
         self.available_versions = {("model", "v1"), ("claims", "v1")}
@@ -269,7 +269,7 @@
         simulation.apply(model="v2")
         simulation.available_versions.add(("model", "v2"))
         simulation.run(15)
-        simulation.trials = move_policy.Trials()
+        simulation.trials = move_policy.MoveTrials()
         simulation.tables = state_machine.load(
             state_machine.dump(simulation.tables)
         )
