--- a/src/_arbutuswalk/cli/apply.py
+++ b/src/_arbutuswalk/cli/apply.py
@@ -166,5 +166,5 @@
             for move, row in found.items()
             if row["revision"] == revision
         ]
-        live = [row for _, row in own if row["state"] in moves.LIVE]
+        live = [row for _, row in own if row["state"] in moves.ACTIVE_STATES]
         return None if live else own
--- a/src/_arbutuswalk/state/move_policy.py
+++ b/src/_arbutuswalk/state/move_policy.py
@@ -124,14 +124,16 @@
     available = usable_versions(reports)
     steps = []
     for move, row in tables.moves.items():
-        if row.state in moves.LIVE:
+        if row.state in moves.ACTIVE_STATES:
             step = _decide_step(
                 tables, move, row, sums, available, trials, now_ms
             )
             if step is not None:
                 steps.append(step)
     active = {
-        move for move, row in tables.moves.items() if row.state in moves.LIVE
+        move
+        for move, row in tables.moves.items()
+        if row.state in moves.ACTIVE_STATES
     }
     for key in [key for key in trials.routes if key[0] not in active]:
         del trials.routes[key]
--- a/src/_arbutuswalk/state/moves.py
+++ b/src/_arbutuswalk/state/moves.py
@@ -5,7 +5,7 @@
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import tables as rows
 
-LIVE = ("waiting", "growing", "baking")
+ACTIVE_STATES = ("waiting", "growing", "baking")
 TAKEN_BACK = "taken_back"
 SETTLED = "settled"
 """State of a taken back move whose target the operator has since undone."""
@@ -30,7 +30,7 @@
 def active_move(tables: rows.Tables, upstream: str) -> str:
     """Returns the id of the upstream's active move, or empty."""
     for move, row in tables.moves.items():
-        if row.upstream == upstream and row.state in LIVE:
+        if row.upstream == upstream and row.state in ACTIVE_STATES:
             return move
     return ""
 
@@ -40,7 +40,7 @@
     row = tables.moves.get(command.move)
     if row is None:
         return outcomes.Absent()
-    if row.step != command.seen_step or row.state not in LIVE:
+    if row.step != command.seen_step or row.state not in ACTIVE_STATES:
         return outcomes.Stale(what=f"move {command.move} step {row.step}")
     tables.moves[command.move] = row._replace(
         state=command.state,
@@ -59,7 +59,7 @@
     ended = [
         move_id
         for move_id, row in tables.moves.items()
-        if row.state not in LIVE
+        if row.state not in ACTIVE_STATES
     ]
     for move in ended[:-MAX_ENDED_MOVES]:
         del tables.moves[move]
@@ -119,7 +119,7 @@
 
 def _end_move(tables: rows.Tables, move: str, state: str, reason: str) -> None:
     row = tables.moves[move]
-    if row.state not in LIVE:
+    if row.state not in ACTIVE_STATES:
         return
     tables.moves[move] = row._replace(
         state=state,
--- a/src/_arbutuswalk/state/view.py
+++ b/src/_arbutuswalk/state/view.py
@@ -50,7 +50,7 @@
     active_moves = {
         move: row._asdict()
         for move, row in tables.moves.items()
-        if row.state in moves.LIVE
+        if row.state in moves.ACTIVE_STATES
     }
     taken_back = [
         [row.upstream, row.new]
