--- a/bench/rig.py
+++ b/bench/rig.py
@@ -105,7 +105,7 @@
             "domains": ["d1"],
             "classes": [{"name": "c", "slots": 4000}],
             "workspaces": [
-                {"name": "w", "token_sha256": inventories.digest(TOKEN)}
+                {"name": "w", "token_sha256": inventories.sha256_hex(TOKEN)}
             ],
             "upstreams": [
                 {
--- a/src/_arbutuswalk/entry/calls.py
+++ b/src/_arbutuswalk/entry/calls.py
@@ -292,7 +292,7 @@
 
 def _digest(call: services.ServiceCall) -> str:
     head = f"{call.method} {call.upstream['name']} {call.path}\n".encode()
-    return inventories.digest(head + call.body)
+    return inventories.sha256_hex(head + call.body)
 
 
 def _withdraw_later(
--- a/src/_arbutuswalk/entry/http.py
+++ b/src/_arbutuswalk/entry/http.py
@@ -87,7 +87,7 @@
     if scheme.lower() != "bearer" or not token:
         detail = "send Authorization: Bearer with the workspace's token"
         return answer.Problem(401, "missing token", detail, "no")
-    digest = inventories.digest(token.strip())
+    digest = inventories.sha256_hex(token.strip())
     for workspace in (entry.inventory or {}).get("workspaces", []):
         if workspace["token_sha256"] == digest:
             return workspace
--- a/src/_arbutuswalk/entry/models.py
+++ b/src/_arbutuswalk/entry/models.py
@@ -100,7 +100,7 @@
             known = await copies.adopt(entry, last[0], workspace["name"])
         if known is None:
             return None
-        if known.digest != inventories.digest(raw):
+        if known.digest != inventories.sha256_hex(raw):
             detail = "the key or id belongs to another body"
             return requests.bad("key reused", detail, 409)
         if last is None or last[0] != known.request_id:
@@ -134,7 +134,7 @@
         if len(entry.requests) >= MAX_REQUESTS:
             detail = "too many requests are in flight here"
             return answer.Problem(503, "entry full", detail, "no", 1)
-        digest = inventories.digest(raw)
+        digest = inventories.sha256_hex(raw)
         name = workspace["name"]
         fingerprint = requests.fingerprint(name, self.route, digest)
         until_ms = entry.convicted_until_ms(fingerprint)
--- a/src/_arbutuswalk/entry/requests.py
+++ b/src/_arbutuswalk/entry/requests.py
@@ -82,7 +82,7 @@
         self.workspace = workspace
         self.weight = weight
         self.key = key
-        self.digest = inventories.digest(raw)
+        self.digest = inventories.sha256_hex(raw)
         self.fingerprint = fingerprint(workspace, route, self.digest)
         self.upstream = body["model"]
         self.route = route
@@ -126,7 +126,7 @@
 
 def fingerprint(workspace: str, route: str, digest: str) -> str:
     """Returns what quarantine knows a request by."""
-    return inventories.digest(f"{workspace}|{route}|{digest}")[:32]
+    return inventories.sha256_hex(f"{workspace}|{route}|{digest}")[:32]
 
 
 def prompt_of(body: dict[str, Any]) -> str:
--- a/src/_arbutuswalk/state/configuration.py
+++ b/src/_arbutuswalk/state/configuration.py
@@ -70,4 +70,4 @@
 
 def _request_digest(command: commands.Apply) -> str:
     body = json.dumps([command.expected, command.inventory], sort_keys=True)
-    return inventories.digest(body)
+    return inventories.sha256_hex(body)
--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -288,7 +288,7 @@
     return upstream["bake_s"] + MIN_GROWTH_S
 
 
-def digest(text: str | bytes) -> str:
+def sha256_hex(text: str | bytes) -> str:
     """Returns the SHA-256 of ``text`` in hex, as stored for access tokens."""
     data = text.encode() if isinstance(text, str) else text
     return hashlib.sha256(data).hexdigest()
--- a/testing/worlds.py
+++ b/testing/worlds.py
@@ -35,8 +35,8 @@
         "domains": ["d1", "d2"],
         "classes": [{"name": "c", "slots": 4}],
         "workspaces": [
-            {"name": "w", "token_sha256": inventories.digest("t")},
-            {"name": "big", "token_sha256": inventories.digest("b")},
+            {"name": "w", "token_sha256": inventories.sha256_hex("t")},
+            {"name": "big", "token_sha256": inventories.sha256_hex("b")},
         ],
         "upstreams": [
             {
