--- a/src/_arbutuswalk/limits/quota.py
+++ b/src/_arbutuswalk/limits/quota.py
@@ -31,7 +31,7 @@
 covers what entries take before their reports reach each other."""
 
 
-class Terms(NamedTuple):
+class QuotaTolerance(NamedTuple):
     """Accuracy with which a quota must be enforced.
 
     Attributes:
@@ -45,17 +45,19 @@
     tolerance: float
 
 
-def loosen(rate: float, burst: float, terms: Terms) -> tuple[float, float]:
+def effective_quota(
+    rate: float, burst: float, quota_tolerance: QuotaTolerance
+) -> tuple[float, float]:
     """Returns the rate and burst to enforce.
 
     Wrongly refusing a request costs its caller more than a small overshoot
     costs the system, so a part of the permitted overshoot is used. Half of the
     tolerance is added to the rate and half to the burst.
     """
-    factor = 1 + USED_OVERSHOOT_FRACTION * terms.overshoot
-    extra_tokens = USED_OVERSHOOT_FRACTION * terms.tolerance / 2
+    factor = 1 + USED_OVERSHOOT_FRACTION * quota_tolerance.overshoot
+    extra_tokens = USED_OVERSHOOT_FRACTION * quota_tolerance.tolerance / 2
     return (
-        rate * factor + extra_tokens / terms.window_s,
+        rate * factor + extra_tokens / quota_tolerance.window_s,
         burst * factor + extra_tokens,
     )
 
@@ -68,8 +70,8 @@
         burst: Maximum tokens in the bucket.
         level: Estimated tokens in the bucket.
         refilled_at: Time of the last refill, in seconds.
-        part: Fraction of rate and burst that this entry may use, below 1
-            while entries are unreachable.
+        usable_fraction: Fraction of rate and burst that this entry may use,
+            below 1 while entries are unreachable.
         entries: Number of entries that share the bucket.
         promised: Tokens of recently refused requests whose callers were told
             when to retry.
@@ -83,7 +85,7 @@
         span_others_taken: Tokens of other entries since ``span_started_at``.
         span_start_taken: ``taken`` at ``span_started_at``.
         span_started_at: Start of the current rate measurement, in seconds.
-        heard_at: Time of the last report, in seconds.
+        last_report_at: Time of the last report, in seconds.
     """
 
     def __init__(self, *, rate: float, burst: float, now: float):
@@ -91,7 +93,7 @@
         self.burst = burst
         self.level = burst
         self.refilled_at = now
-        self.part = 1.0
+        self.usable_fraction = 1.0
         self.entries = 1
         self.promised = 0.0
         self.taken = 0.0
@@ -103,7 +105,7 @@
         self.span_others_taken = 0.0
         self.span_start_taken = 0.0
         self.span_started_at = now
-        self.heard_at = now
+        self.last_report_at = now
 
     def resize(self, rate: float, burst: float, now: float) -> None:
         """Changes rate and burst; never raises the level."""
@@ -112,10 +114,10 @@
         self.burst = burst
         self.level = min(self.level, burst)
 
-    def hear(self, others: float, now: float) -> None:
+    def record_report(self, others: float, now: float) -> None:
         """Processes a report of the total that the other entries took."""
         self._refill(now)
-        self.heard_at = now
+        self.last_report_at = now
         self.taken_before_report, self.taken_since_report = (
             self.taken_since_report,
             0.0,
@@ -171,7 +173,7 @@
         now: float,
         *,
         entries: int,
-        silent: int,
+        unreachable: int,
         late: bool = False,
     ) -> float:
         """Takes ``cost`` tokens.
@@ -183,22 +185,26 @@
             cost: Tokens of the request.
             now: Current time in seconds.
             entries: Number of entries that share the bucket.
-            silent: Number of those that are unreachable.
+            unreachable: Number of those that are unreachable.
             late: Whether the response would already miss its objective, so
                 that requests which can still meet theirs take precedence.
 
         Returns:
             Zero if the tokens were taken, else seconds until a retry.
         """
-        report_age_s = now - self.heard_at
+        report_age_s = now - self.last_report_at
         isolated = report_age_s > MAX_REPORT_AGE_S and entries > 1
         self._refill(now)
         self.entries = max(1, entries)
-        self.part = _usable_fraction(entries, silent, isolated=isolated)
-        self.level = min(self.level, self.burst * self.part)
+        self.usable_fraction = _usable_fraction(
+            entries, unreachable, isolated=isolated
+        )
+        self.level = min(self.level, self.burst * self.usable_fraction)
         held_back = 0.0 if isolated else self._estimate_unreported(report_age_s)
         available = self.level - held_back
-        required = _required_level(cost, self.burst * self.part, late=late)
+        required = _required_level(
+            cost, self.burst * self.usable_fraction, late=late
+        )
         if available >= required:
             self.level -= cost
             self.taken += cost
@@ -207,13 +213,13 @@
         # Callers that were told when to retry take precedence.
         shortfall = required - available + self.promised * entries
         self.promised += cost
-        return shortfall / (self.rate * self.part)
+        return shortfall / (self.rate * self.usable_fraction)
 
     def _refill(self, now: float) -> None:
         """Adds the tokens since the last refill, for this entry's fraction."""
         elapsed_s = max(0.0, now - self.refilled_at)
-        max_level = self.burst * self.part
-        gained = elapsed_s * self.rate * self.part
+        max_level = self.burst * self.usable_fraction
+        gained = elapsed_s * self.rate * self.usable_fraction
         self.level = min(max(max_level, self.level), self.level + gained)
         self.promised = max(0.0, self.promised - gained / self.entries)
         self.refilled_at = now
@@ -233,9 +239,11 @@
     return min(cost, LARGE_REQUEST_FRACTION * burst) + reserve * burst
 
 
-def _usable_fraction(entries: int, silent: int, *, isolated: bool) -> float:
+def _usable_fraction(
+    entries: int, unreachable: int, *, isolated: bool
+) -> float:
     """Returns the fraction of the bucket that an entry may use."""
     if isolated:
         return 1 / entries
-    reachable = max(1, entries - silent)
+    reachable = max(1, entries - unreachable)
     return reachable / max(1, entries)
--- a/src/_arbutuswalk/relay/core.py
+++ b/src/_arbutuswalk/relay/core.py
@@ -50,7 +50,7 @@
     retry_extra: float
     retry_window_s: float
     usage_window_s: float
-    quota: quota.Terms
+    quota: quota.QuotaTolerance
     heartbeat_s: float
 
 
--- a/src/_arbutuswalk/relay/intake.py
+++ b/src/_arbutuswalk/relay/intake.py
@@ -126,7 +126,7 @@
         cost(request),
         now,
         entries=relay.entries,
-        silent=relay.silent,
+        unreachable=relay.silent,
         late=relay.patience.is_late(request, now),
     )
     if not wait_s:
@@ -137,8 +137,9 @@
         STATUS_OVER_QUOTA,
         f"quota of workspace {workspace.name} is used up:"
         f" {bucket.level:.0f} of {bucket.burst:.0f} tokens, rate"
-        f" {bucket.rate:.0f}, part {bucket.part:.2f}, others take"
-        f" {bucket.others_rate:.0f}, heard {now - bucket.heard_at:.2f} s ago",
+        f" {bucket.rate:.0f}, part {bucket.usable_fraction:.2f}, others take"
+        f" {bucket.others_rate:.0f}, heard"
+        f" {now - bucket.last_report_at:.2f} s ago",
         min(MAX_RETRY_AFTER_S, wait_s),
     )
 
@@ -148,7 +149,7 @@
 ) -> quota.Bucket:
     rate, burst = workspace.rate_per_s, workspace.burst
     if workspace.by_tokens:
-        rate, burst = quota.loosen(rate, burst, relay.options.quota)
+        rate, burst = quota.effective_quota(rate, burst, relay.options.quota)
     bucket = relay.buckets.get(workspace.name)
     if bucket is None:
         bucket = quota.Bucket(rate=rate, burst=burst, now=now)
--- a/src/_arbutuswalk/relay/watching.py
+++ b/src/_arbutuswalk/relay/watching.py
@@ -258,7 +258,7 @@
         now = self.relay.now()
         for name, bucket in self.relay.buckets.items():
             own = feed.reported_taken.get(name, 0.0)
-            bucket.hear(taken.get(name, 0.0) - own, now)
+            bucket.record_report(taken.get(name, 0.0) - own, now)
 
     def _agree_on_time(self) -> None:
         """Corrects a clock that stepped by the median of all clocks."""
--- a/testing/relays.py
+++ b/testing/relays.py
@@ -20,7 +20,7 @@
     retry_extra=400.0,
     retry_window_s=10.0,
     usage_window_s=5.0,
-    quota=quota.Terms(window_s=8.0, overshoot=0.1, tolerance=0.0),
+    quota=quota.QuotaTolerance(window_s=8.0, overshoot=0.1, tolerance=0.0),
     heartbeat_s=1.2,
 )
 
--- a/testing/test_quota.py
+++ b/testing/test_quota.py
@@ -14,8 +14,10 @@
     return quota.Bucket(rate=RATE, burst=BURST, now=now)
 
 
-def admit(bucket, cost, now, entries=1, silent=0):
-    return bucket.take(cost, now, entries=entries, silent=silent) == 0.0
+def admit(bucket, cost, now, entries=1, unreachable=0):
+    return (
+        bucket.take(cost, now, entries=entries, unreachable=unreachable) == 0.0
+    )
 
 
 class QuotaSimulation:
@@ -30,14 +32,20 @@
         self.taken = []
         self.last_report_at = [0.0] * entries
         self.disconnected = None
-        self.silent = 0
+        self.unreachable = 0
         self.last_reported = [0.0] * entries
 
     def step(self, now, cost, entry):
         self.exchange_reports(now)
         bucket = self.buckets[entry]
-        silent = 0 if entry == self.disconnected else self.silent
-        if admit(bucket, cost, now, entries=len(self.buckets), silent=silent):
+        unreachable = 0 if entry == self.disconnected else self.unreachable
+        if admit(
+            bucket,
+            cost,
+            now,
+            entries=len(self.buckets),
+            unreachable=unreachable,
+        ):
             self.taken.append((now, cost))
 
     def exchange_reports(self, now):
@@ -53,7 +61,7 @@
                 for number, other in enumerate(self.buckets)
                 if other is not bucket
             )
-            bucket.hear(others, now)
+            bucket.record_report(others, now)
 
     def reported_taken(self, number):
         """Returns an entry's last report, an old one if it is disconnected."""
@@ -77,7 +85,7 @@
         bucket = make_bucket()
         while admit(bucket, 100, 0.0):
             pass
-        wait = bucket.take(100, 0.0, entries=1, silent=0)
+        wait = bucket.take(100, 0.0, entries=1, unreachable=0)
         assert 0 < wait < BURST / RATE
 
     def test_small_requests_pass_where_large_ones_leave_a_reserve(self):
@@ -90,38 +98,38 @@
         bucket = make_bucket()
         assert admit(bucket, 3 * BURST, 0.0)
         assert not admit(bucket, 400, 1.0)
-        large_wait = bucket.take(400, 1.0, entries=1, silent=0)
+        large_wait = bucket.take(400, 1.0, entries=1, unreachable=0)
         bucket.promised = 0.0
-        huge_wait = bucket.take(10 * BURST, 1.0, entries=1, silent=0)
+        huge_wait = bucket.take(10 * BURST, 1.0, entries=1, unreachable=0)
         assert huge_wait == pytest.approx(large_wait, rel=0.3)
 
     def test_later_refusals_wait_behind_earlier_ones(self):
         bucket = make_bucket()
         admit(bucket, 2 * BURST, 0.0)
-        first = bucket.take(400, 0.0, entries=1, silent=0)
-        second = bucket.take(400, 0.0, entries=1, silent=0)
+        first = bucket.take(400, 0.0, entries=1, unreachable=0)
+        second = bucket.take(400, 0.0, entries=1, unreachable=0)
         assert second >= first + 400 / RATE
 
     def test_a_smaller_quota_never_adds_tokens(self):
         bucket = make_bucket()
-        bucket.take(3000, 0.0, entries=1, silent=0)
+        bucket.take(3000, 0.0, entries=1, unreachable=0)
         before = bucket.level
         bucket.resize(RATE / 10, BURST / 10, 0.0)
         assert bucket.level <= min(before, BURST / 10)
 
     def test_reports_milliseconds_apart_do_not_change_the_rate_estimate(self):
         bucket = make_bucket()
-        bucket.hear(0.0, 0.0)
-        bucket.hear(500.0, 0.100)
-        bucket.hear(900.0, 0.101)
-        bucket.hear(1000.0, 1.0)
+        bucket.record_report(0.0, 0.0)
+        bucket.record_report(500.0, 0.100)
+        bucket.record_report(900.0, 0.101)
+        bucket.record_report(1000.0, 1.0)
         assert bucket.others_rate <= 1000.0
 
     def test_totals_of_a_restarted_control_process_are_not_counted_twice(self):
         bucket = make_bucket()
-        bucket.hear(1000.0, 0.0)
-        bucket.hear(0.0, 0.1)
-        bucket.hear(1000.0, 0.2)
+        bucket.record_report(1000.0, 0.0)
+        bucket.record_report(0.0, 0.1)
+        bucket.record_report(1000.0, 0.2)
         assert bucket.level == pytest.approx(BURST)
 
 
@@ -131,9 +139,11 @@
     def test_no_window_exceeds_what_is_permitted(self, rate, seed):
         """A workspace sends four times its quota in large requests."""
         rng = random.Random(seed)
-        terms = quota.Terms(window_s=8.0, overshoot=0.1, tolerance=110_000)
-        loosened = quota.loosen(rate, rate, terms)
-        simulation = QuotaSimulation(8, 0.4, *loosened)
+        quota_tolerance = quota.QuotaTolerance(
+            window_s=8.0, overshoot=0.1, tolerance=110_000
+        )
+        effective = quota.effective_quota(rate, rate, quota_tolerance)
+        simulation = QuotaSimulation(8, 0.4, *effective)
         now, mean = 0.0, 9000
         while now < 30.0:
             now += rng.expovariate(4 * rate / mean)
@@ -150,14 +160,16 @@
     ):
         """One entry is disconnected for six seconds at four times the quota."""
         rng = random.Random(seed)
-        terms = quota.Terms(window_s=8.0, overshoot=0.1, tolerance=110_000)
-        loosened = quota.loosen(rate, rate, terms)
-        simulation = QuotaSimulation(8, 0.4, *loosened)
+        quota_tolerance = quota.QuotaTolerance(
+            window_s=8.0, overshoot=0.1, tolerance=110_000
+        )
+        effective = quota.effective_quota(rate, rate, quota_tolerance)
+        simulation = QuotaSimulation(8, 0.4, *effective)
         now = 0.0
         while now < 30.0:
             now += rng.expovariate(4 * rate / 9000)
             simulation.disconnected = 0 if 8.0 < now < 14.0 else None
-            simulation.silent = 1 if 9.5 < now < 14.5 else 0
+            simulation.unreachable = 1 if 9.5 < now < 14.5 else 0
             cost = min(39_600, rng.lognormvariate(8.9, 0.7))
             simulation.step(now, cost, rng.randrange(8))
         permitted = (rate * 8 + rate) * 1.1 + 110_000
@@ -182,15 +194,17 @@
         taken = 0
         for tick in range(3000):
             now = tick * 0.01
-            bucket.hear(0.0, now)
-            taken += 50 * admit(bucket, 50, now, entries=4, silent=1)
+            bucket.record_report(0.0, now)
+            taken += 50 * admit(bucket, 50, now, entries=4, unreachable=1)
         assert taken <= (RATE * 30 + BURST) * 3 / 4 + BURST
 
 
-class TestTerms:
+class TestQuotaTolerance:
     def test_only_a_part_of_the_permitted_overshoot_is_used(self):
-        terms = quota.Terms(window_s=8.0, overshoot=0.1, tolerance=1600.0)
-        rate, burst = quota.loosen(RATE, BURST, terms)
+        quota_tolerance = quota.QuotaTolerance(
+            window_s=8.0, overshoot=0.1, tolerance=1600.0
+        )
+        rate, burst = quota.effective_quota(RATE, BURST, quota_tolerance)
         permitted = (RATE * 8 + BURST) * 1.1 + 1600
         given = rate * 8 + burst
         base = RATE * 8 + BURST
