--- a/src/_arbutuswalk/limits/retries.py
+++ b/src/_arbutuswalk/limits/retries.py
@@ -28,12 +28,12 @@
         self.requests: collections.deque[float] = collections.deque()
         self.retries: collections.deque[float] = collections.deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Records a request of a caller."""
         self.requests.append(now)
         _drop_before(self.requests, now - self.window_s)
 
-    def may_retry(self, now: float, entries: int) -> bool:
+    def try_acquire(self, now: float, entries: int) -> bool:
         """Records a retry if the limit permits it; returns whether it does."""
         cutoff = now - self.window_s
         _drop_before(self.requests, cutoff)
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -21,7 +21,7 @@
     relay: core.Relay, request: requests.Request, to_caller: delivery.Delivery
 ) -> None:
     """Sends a request until it is answered, or gives it up at once."""
-    relay.retry_window(request.upstream).note_request(relay.now())
+    relay.retry_window(request.upstream).record_request(relay.now())
     tally = results.Tally()
     tried: set[str] = set()
     fallback: results.Answered | None = None
@@ -75,7 +75,7 @@
     if not tally.arrivals:
         return True
     window = relay.retry_window(request.upstream)
-    return window.may_retry(relay.now(), relay.entries)
+    return window.try_acquire(relay.now(), relay.entries)
 
 
 async def _conclude(
