--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -188,9 +188,9 @@
     raw: dict[str, Any], *, where: str
 ) -> Inventory | settings.BadSettings:
     """Validates a parsed inventory and fills in defaults."""
-    inventory_fields = settings.check(raw, _INVENTORY_FIELDS, where=where)
-    if isinstance(inventory_fields, settings.BadSettings):
-        return inventory_fields
+    checked_top_level = settings.check(raw, _INVENTORY_FIELDS, where=where)
+    if isinstance(checked_top_level, settings.BadSettings):
+        return checked_top_level
     problems: list[str] = []
 
     def check_table(item: dict[str, Any], fields, name: str) -> dict[str, Any]:
@@ -200,21 +200,21 @@
             return item
         return checked
 
-    rules = check_table(inventory_fields["rules"], _RULES_FIELDS, "rules")
+    rules = check_table(checked_top_level["rules"], _RULES_FIELDS, "rules")
     inventory = {
-        "domains": inventory_fields["domains"],
+        "domains": checked_top_level["domains"],
         "classes": [
             check_table(item, _CLASS_FIELDS, f"classes[{i}]")
-            for i, item in enumerate(inventory_fields["classes"])
+            for i, item in enumerate(checked_top_level["classes"])
         ],
         "rules": rules,
         "workspaces": [
             check_table(item, _WORKSPACE_FIELDS, f"workspaces[{i}]")
-            for i, item in enumerate(inventory_fields["workspaces"])
+            for i, item in enumerate(checked_top_level["workspaces"])
         ],
         "upstreams": [
             check_table(item, _upstream_fields(rules), f"upstreams[{i}]")
-            for i, item in enumerate(inventory_fields["upstreams"])
+            for i, item in enumerate(checked_top_level["upstreams"])
         ],
     }
     for i, upstream in enumerate(inventory["upstreams"]):
--- a/src/_arbutuswalk/state/move_policy.py
+++ b/src/_arbutuswalk/state/move_policy.py
@@ -92,10 +92,10 @@
     sums: dict[str, evidence.OutcomeCounts] = {}
     for report in reports.values():
         for key, counts in report.get("evidence", {}).items():
-            ran, errors, slow, timed = counts
+            ran, errors, slow, measured = counts
             previous = sums.get(key, evidence.OutcomeCounts())
             sums[key] = evidence.add_counts(
-                previous, (ran, errors, timed, slow)
+                previous, (ran, errors, measured, slow)
             )
     return sums
 
--- a/src/_arbutuswalk/state/routeconfig.py
+++ b/src/_arbutuswalk/state/routeconfig.py
@@ -69,7 +69,7 @@
     Attributes:
         slots: Maximum requests in one batch.
         cache_tokens: Cache size in tokens, shared by running requests and
-            cached prefixes.
+            cached prompt parts.
     """
 
     slots: int
--- a/src/_arbutuswalk/state/scaling_policy.py
+++ b/src/_arbutuswalk/state/scaling_policy.py
@@ -29,7 +29,7 @@
 """Time after a refused order in which reclaimable endpoints count as
 unavailable; it spans several retries at ``REFUSED_ORDER_RETRY_S``."""
 LOAD_WINDOW_S = 12.0
-"""Window of the load samples that the count is based on: three times the
+"""Window of load samples whose peak sets the reclaimable count: three times the
 start-up time of an endpoint."""
 LOAD_LEARNING_S = 5.0
 """Time under load before the count may fall below the initial number."""
--- a/src/_arbutuswalk/state/tables.py
+++ b/src/_arbutuswalk/state/tables.py
@@ -166,7 +166,7 @@
         inventory: The configuration, None before the first.
         operations: Operations by id.
         history: Accepted configurations, oldest first.
-        versions: Current version by upstream name, excluding active moves.
+        versions: Version before any active move, by upstream name.
         entries: Entries by id.
         calls: Non-repeatable calls by ``workspace`` + newline + ``key``.
         withdrawn: Log time at which an attempt was withdrawn, by attempt.
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -36,7 +36,7 @@
 
 
 class TestEndpointChoice:
-    def test_requests_that_share_a_prefix_go_to_one_endpoint(self):
+    def test_requests_that_share_prompt_parts_go_to_one_endpoint(self):
         work = endpoints.Work(5000, (("wide", 2000), ("narrow", 2500)))
         chosen = {
             endpoints.choose(
@@ -59,7 +59,9 @@
         assert second.id != first.id
         assert second.tokens == 3000
 
-    def test_an_endpoint_that_recently_got_a_prefix_is_preferred(self):
+    def test_an_endpoint_that_recently_got_a_prompt_part_computes_only_the_rest(
+        self,
+    ):
         work = endpoints.Work(5000, (("narrow", 4500),))
         candidates = make_candidates(3)
         first = endpoints.choose(candidates, work, (), (0.1, 0.9))
@@ -77,15 +79,15 @@
         assert endpoints.choose([doubtful], None, (), (0.1, 0.1))
         assert endpoints.choose([], None, (), (0.1, 0.1)) is None
 
-    def test_plain_requests_go_to_the_endpoint_with_the_most_free_slots(self):
+    def test_plain_requests_go_to_the_least_loaded_endpoint(self):
         candidates = [
             each._replace(running=running, slots=6)
             for each, running in zip(make_candidates(3), (4, 1, 3), strict=True)
         ]
         assert endpoints.choose(candidates, None, (), (0.5, 0.5)).id == "e1"
 
-    def test_a_popular_prefix_is_spread_over_more_endpoints(self):
-        """A prefix that all requests share must not overload one endpoint."""
+    def test_a_popular_prompt_part_is_spread_over_more_endpoints(self):
+        """A prompt part of all requests must not overload one endpoint."""
         rng = random.Random(7)
         work = endpoints.Work(4000, (("hot", 3000),))
         loads = {f"e{i}": 0 for i in range(9)}
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -219,14 +219,14 @@
 
 
 class TestDeadline:
-    def test_without_instances_it_is_taken_back(self):
+    def test_move_without_instances_is_taken_back(self):
         simulation = MoveSimulation()
         simulation.apply(model="v2")
         simulation.run(DEADLINE_S + 1)
         assert simulation.last_move().state == "taken_back"
         assert "deadline" in simulation.last_move().reason
 
-    def test_without_evidence_it_is_taken_back(self):
+    def test_move_without_evidence_is_taken_back(self):
         simulation = MoveSimulation()
         simulation.apply(model="v2")
         simulation.available_versions.add(("model", "v2"))
@@ -245,7 +245,7 @@
         assert states == ["superseded", "waiting"]
         assert simulation.last_move().old == "v1"
 
-    def test_two_moves_at_once(self):
+    def test_two_concurrent_moves(self):
         simulation = MoveSimulation()
         simulation.apply(model="v2", claims="v2")
         simulation.available_versions |= {("model", "v2"), ("claims", "v2")}
--- a/testing/test_quota.py
+++ b/testing/test_quota.py
@@ -94,7 +94,7 @@
             pass
         assert admit(bucket, 20, 0.0)
 
-    def test_the_largest_requests_wait_no_longer_than_large_ones(self):
+    def test_the_largest_requests_wait_about_as_long_as_large_ones(self):
         bucket = make_bucket()
         assert admit(bucket, 3 * BURST, 0.0)
         assert not admit(bucket, 400, 1.0)
@@ -117,7 +117,7 @@
         bucket.resize(RATE / 10, BURST / 10, 0.0)
         assert bucket.level <= min(before, BURST / 10)
 
-    def test_reports_milliseconds_apart_do_not_change_the_rate_estimate(self):
+    def test_reports_milliseconds_apart_do_not_inflate_the_rate_estimate(self):
         bucket = make_bucket()
         bucket.record_report(0.0, 0.0)
         bucket.record_report(500.0, 0.100)
--- a/testing/test_state.py
+++ b/testing/test_state.py
@@ -261,7 +261,7 @@
         assert tables.charges == {}
 
 
-class TestMachine:
+class TestStateMachine:
     def test_unknown_command_changes_nothing(self, tables):
         outcome = state_machine.apply(tables, b'5 ["Nonsense", 1]', 1)
         assert isinstance(outcome, outcomes.Stale)
