--- a/src/_arbutuswalk/control/durable_replica.py
+++ b/src/_arbutuswalk/control/durable_replica.py
@@ -18,8 +18,8 @@
 from _arbutuswalk.agreement import transfer
 from _arbutuswalk.agreement import types
 from _arbutuswalk.base import events
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.storage import errors
 from _arbutuswalk.storage import folder
@@ -117,7 +117,9 @@
             commit=recovered.commit,
         )
         if recovered.snapshot is not None:
-            self.replica.snapshots[log.snapshot_index] = recovered.snapshot.state
+            self.replica.snapshots[log.snapshot_index] = (
+                recovered.snapshot.state
+            )
         return None
 
     def _rebuild(self, recovered: wal.Recovered) -> raftlog.RaftLog:
@@ -126,7 +128,7 @@
         if recovered.snapshot is not None:
             index, term, packed = recovered.snapshot
             members, state = snapshot.unpack(packed)
-            self.tables = machine.load(state)
+            self.tables = state_machine.load(state)
             self.applied = index
         return raftlog.RaftLog(
             snapshot_index=index,
@@ -169,7 +171,9 @@
         accepts = membership.accepts_commands(self.replica)
         if not self.is_leader or not accepts:
             return None
-        payload = types.COMMAND_KIND + machine.stamp_encoded(command, at_ms)
+        payload = types.COMMAND_KIND + state_machine.stamp_encoded(
+            command, at_ms
+        )
         return replication.propose(self.replica, payload, now)
 
     def take_ready(self) -> types.Ready:
@@ -193,7 +197,7 @@
         """Records that a round is durable."""
         if ready.snapshot is not None:
             _, state = snapshot.unpack(ready.snapshot.state)
-            self.tables = machine.load(state)
+            self.tables = state_machine.load(state)
             self.applied = ready.snapshot.index
             events.log(events.Event.SNAPSHOT_INSTALLED, self.applied)
         if ready.entries:
@@ -209,7 +213,7 @@
         kind, payload = entry.command[:1], entry.command[1:]
         outcome = None
         if kind == types.COMMAND_KIND:
-            outcome = machine.apply(self.tables, payload, self.applied)
+            outcome = state_machine.apply(self.tables, payload, self.applied)
         elif kind == types.MEMBERS_KIND:
             members = types.unpack_members(entry.command)
             events.log(
@@ -220,12 +224,17 @@
     def due_snapshot(self) -> wal.Snapshot | None:
         """Returns a snapshot to save, at indices equal on all members."""
         index = self.applied
-        if index % self.snapshot_every or index <= self.replica.log.snapshot_index:
+        if (
+            index % self.snapshot_every
+            or index <= self.replica.log.snapshot_index
+        ):
             return None
         members = transfer.members_at(self.replica, index)
-        packed = snapshot.pack(members, machine.dump(self.tables))
+        packed = snapshot.pack(members, state_machine.dump(self.tables))
         return wal.Snapshot(index, self.replica.log.term_at(index), packed)
 
     def keep_snapshot(self, saved_snapshot: wal.Snapshot) -> None:
         """Serves a saved snapshot and drops the log entries it covers."""
-        transfer.retain_snapshot(self.replica, saved_snapshot.index, saved_snapshot.state)
+        transfer.retain_snapshot(
+            self.replica, saved_snapshot.index, saved_snapshot.state
+        )
--- a/src/_arbutuswalk/control/duties.py
+++ b/src/_arbutuswalk/control/duties.py
@@ -15,7 +15,7 @@
 from _arbutuswalk.control import process
 from _arbutuswalk.control import scaling
 from _arbutuswalk.control import usage_reports
-from _arbutuswalk.state import fleetplan
+from _arbutuswalk.state import scaling_policy
 
 TICK_INTERVAL_S = 0.25
 IN_FLIGHT_MARGIN_S = 0.3
@@ -161,7 +161,7 @@
         kind = "reclaimable" if planned.reclaimable else "on-demand"
         subject = f"{upstream}/{planned.domain}/{kind}"
         _record_call(holder, "scaling", subject, planned.count, outcome)
-        fleetplan.note_outcome(
+        scaling_policy.record_order_outcome(
             fleets.fleet(upstream),
             planned,
             accepted=outcome == ACCEPTED,
--- a/src/_arbutuswalk/control/leader_tasks.py
+++ b/src/_arbutuswalk/control/leader_tasks.py
@@ -10,7 +10,7 @@
 from _arbutuswalk.control import service as services
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import entries
-from _arbutuswalk.state import moveplan
+from _arbutuswalk.state import move_policy
 from _arbutuswalk.state import outcomes
 
 TICK_INTERVAL_S = 0.25
@@ -40,7 +40,7 @@
                 address=values["platform"]
             )
         self.term = -1
-        self.trials = moveplan.Trials()
+        self.trials = move_policy.MoveTrials()
         self.meter = metering.Meter()
         self.next_notice = 0
         self.next_charge_at = 0.0
@@ -63,7 +63,7 @@
         term = self.service.member.replica.term
         if term != self.term:
             self.term = term
-            self.trials = moveplan.Trials()
+            self.trials = move_policy.MoveTrials()
             self.meter = metering.Meter()
             self.next_notice = 0
 
@@ -90,7 +90,7 @@
     def _due_moves(self) -> list[commands.StepMove]:
         tables = self.service.member.tables
         reports = self.service.leases.reports(tables)
-        return moveplan.decide(tables, reports, self.trials, self._now_ms())
+        return move_policy.decide(tables, reports, self.trials, self._now_ms())
 
     async def _step_move(self, command: commands.StepMove) -> None:
         outcome = await self.submit(command)
--- a/src/_arbutuswalk/control/metering.py
+++ b/src/_arbutuswalk/control/metering.py
@@ -70,7 +70,7 @@
     used_ms: dict[tuple[str, str], int],
     owners: dict[str, tuple[str, int]],
     interval_s: float,
-) -> charges.Use:
+) -> charges.InstanceUsage:
     owner, slots = owners.get(instance, ("", DEFAULT_SLOT_COUNT))
     busy = {
         workspace: max(
@@ -79,7 +79,7 @@
         for (used_instance, workspace), total_ms in used_ms.items()
         if used_instance == instance
     }
-    return charges.Use(
+    return charges.InstanceUsage(
         bill_micro=billed_micro - meter.billed_micro.get(instance, 0),
         idle_account=owner,
         busy=busy,
--- a/src/_arbutuswalk/control/rollouts.py
+++ b/src/_arbutuswalk/control/rollouts.py
@@ -9,7 +9,7 @@
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import evidence
-from _arbutuswalk.state import rolloutplan
+from _arbutuswalk.state import rollout_policy
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import tables as rows
 
@@ -27,7 +27,7 @@
 
     def __init__(self, *, term: int):
         self.term = term
-        self.by_rollout: dict[tuple, rolloutplan.Trial] = {}
+        self.by_rollout: dict[tuple, rollout_policy.RolloutTrial] = {}
 
 
 async def run(components: process.Components, canary_share: float) -> None:
@@ -80,15 +80,17 @@
     if trial is None:
         elapsed_s = (_now_ms(components) - row.started_ms) / 1000
         began_at = now - max(0.0, elapsed_s)
-        trial = rolloutplan.Trial(new=new, old=old, began_at=began_at)
+        trial = rollout_policy.RolloutTrial(new=new, old=old, began_at=began_at)
         trials.by_rollout[key] = trial
-    return rolloutplan.decide(
+    return rollout_policy.decide(
         upstream,
         row,
         trial,
         new=new,
         old=old,
-        present=_has_ready_endpoint(components, upstream, row.target),
+        new_version_serving=_has_ready_endpoint(
+            components, upstream, row.target
+        ),
         canary_share=canary_share,
         now=now,
     )
@@ -112,17 +114,17 @@
 
 def sum_outcomes(
     reports: list[dict[str, Any]], upstream: str, target: str
-) -> tuple[evidence.Sums, evidence.Sums]:
+) -> tuple[evidence.OutcomeCounts, evidence.OutcomeCounts]:
     """Returns outcome sums of the target and of all other versions."""
-    new = old = evidence.Sums()
+    new = old = evidence.OutcomeCounts()
     for report in reports:
         for name, version, *counts in report.get("outcomes", []):
             if name != upstream:
                 continue
             if version == target:
-                new = evidence.add(new, counts)
+                new = evidence.add_counts(new, counts)
             else:
-                old = evidence.add(old, counts)
+                old = evidence.add_counts(old, counts)
     return new, old
 
 
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -2,9 +2,9 @@
 
 from _arbutuswalk.control import process
 from _arbutuswalk.routing import directory
-from _arbutuswalk.state import fleetplan
 from _arbutuswalk.state import rollouts
 from _arbutuswalk.state import routeconfig
+from _arbutuswalk.state import scaling_policy
 
 ENDPOINT_SILENCE_TIMEOUT_S = 4.0
 """Time without an announcement after which an endpoint no longer counts as
@@ -22,19 +22,21 @@
     """
 
     def __init__(self):
-        self.by_upstream: dict[str, fleetplan.Fleet] = {}
+        self.by_upstream: dict[str, scaling_policy.FleetState] = {}
         self.routes_version = 0
         self.reclaimed: set[tuple[str, int]] = set()
         self.config: routeconfig.RouteConfig | None = None
 
-    def fleet(self, upstream: str) -> fleetplan.Fleet:
+    def fleet(self, upstream: str) -> scaling_policy.FleetState:
         """Returns an upstream's fleet, creating an empty one on first use."""
-        return self.by_upstream.setdefault(upstream, fleetplan.Fleet())
+        return self.by_upstream.setdefault(
+            upstream, scaling_policy.FleetState()
+        )
 
 
 def decide_orders(
     components: process.Components, fleets: Fleets
-) -> list[tuple[str, fleetplan.Order]]:
+) -> list[tuple[str, scaling_policy.Order]]:
     """Returns the orders to place now, each with its upstream."""
     now = components.member.now()
     loads = components.discovery.loads()
@@ -51,8 +53,8 @@
         fleet = fleets.fleet(upstream.name)
         _record_reclaims(fleet, fleets.reclaimed, rows, now)
         running = sum(loads.get(row.endpoint.id, (0, 0))[0] for row in rows)
-        fleetplan.note_load(fleet, running, now)
-        orders = fleetplan.decide(
+        scaling_policy.record_load(fleet, running, now)
+        orders = scaling_policy.decide(
             fleet, upstream.scaling, _count_ready(rows, now), now
         )
         due_orders += [(upstream.name, order) for order in orders]
@@ -60,7 +62,7 @@
 
 
 def _record_reclaims(
-    fleet: fleetplan.Fleet,
+    fleet: scaling_policy.FleetState,
     reclaimed: set[tuple[str, int]],
     rows: list[directory.Row],
     now: float,
@@ -78,7 +80,7 @@
         if key in reclaimed:
             continue
         reclaimed.add(key)
-        placed = fleet.placed.get((endpoint.domain, True))
+        placed = fleet.accepted_orders.get((endpoint.domain, True))
         staying = sum(
             other.endpoint.domain == endpoint.domain
             and other.endpoint.reclaimable
@@ -86,7 +88,7 @@
             for other in rows
         )
         if placed is not None and placed.count > staying:
-            fleetplan.note_reclaim(fleet, endpoint.domain, now)
+            scaling_policy.record_reclaim(fleet, endpoint.domain, now)
 
 
 def _is_rolling_out(components: process.Components, upstream: str) -> bool:
@@ -111,8 +113,8 @@
 
 def _count_ready(
     rows: list[directory.Row], now: float
-) -> dict[fleetplan.Key, int]:
-    counts: dict[fleetplan.Key, int] = {}
+) -> dict[scaling_policy.PoolKey, int]:
+    counts: dict[scaling_policy.PoolKey, int] = {}
     for row in rows:
         endpoint = row.endpoint
         if (
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of non-repeatable calls; the oracle counts runs."""
+"""Hypothesis state machine for non-repeatable calls; counts their runs."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 class Exchange:
-    """Upstreams that run calls, or not, and answer, or not."""
+    """Upstreams that may lose requests and responses, or delay them."""
 
     def __init__(self, loop, rng):
         self.loop = loop
--- a/testing/test_duties.py
+++ b/testing/test_duties.py
@@ -68,7 +68,9 @@
         session=discovery.session,
         version=version,
         routes_version=0,
-        report=compressed_json.encode({"ready": True, "address": entry, **report}),
+        report=compressed_json.encode(
+            {"ready": True, "address": entry, **report}
+        ),
     )
 
 
--- a/testing/test_leases.py
+++ b/testing/test_leases.py
@@ -6,7 +6,7 @@
 
 from _arbutuswalk.control import leases
 from _arbutuswalk.state import commands
-from _arbutuswalk.state import machine
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
@@ -15,7 +15,7 @@
 def tables():
     lease_table = rows.Tables()
     command = commands.RegisterEntry("e", 1, "a", "l", "d", 1, "r")
-    machine.apply(lease_table, machine.stamp(command, 1), 1)
+    state_machine.apply(lease_table, state_machine.stamp(command, 1), 1)
     return lease_table
 
 
@@ -76,7 +76,7 @@
     def test_every_entry_must_have_seen_the_isolation(self, tables):
         lease_table = leases.Leases(leader_since=0.0)
         command = commands.Isolate("f", "u", 1, "e")
-        machine.apply(tables, machine.stamp(command, 1), 7)
+        state_machine.apply(tables, state_machine.stamp(command, 1), 7)
         lease_table.record_sync(sync(1, view_version=6), 1.0)
         assert not lease_table.is_idle(tables, "u")
         lease_table.record_sync(sync(1, view_version=7, active=["u"]), 1.1)
--- a/testing/test_routeconfig.py
+++ b/testing/test_routeconfig.py
@@ -1,4 +1,4 @@
-"""Configurations of routes: validity, JSON, look-ups, publishing."""
+"""Route configurations: validation, JSON, lookup and publication."""
 
 import json
 import random
@@ -8,9 +8,9 @@
 
 from _arbutuswalk.routing import routetable
 from _arbutuswalk.state import commands
-from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import routeconfig
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 
 
@@ -37,7 +37,7 @@
 
 
 class TestCheck:
-    def test_a_good_configuration_has_no_problem(self):
+    def test_a_valid_configuration_has_no_problems(self):
         assert routeconfig.check(make_config()) == []
 
     @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
             ),
         ],
     )
-    def test_each_fault_is_named(self, routes, part):
+    def test_each_problem_is_reported(self, routes, part):
         problems = routeconfig.check(make_config(routes=routes))
         assert any(part in problem for problem in problems)
 
@@ -121,8 +121,8 @@
     def publish(self, tables, version, source):
         config = routeconfig.to_json(make_config(version=version))
         command = commands.PublishRoutes(version, config, source)
-        payload = machine.stamp(command, 1000)
-        return machine.apply(tables, payload, tables.applied + 1)
+        payload = state_machine.stamp(command, 1000)
+        return state_machine.apply(tables, payload, tables.applied + 1)
 
     def test_the_highest_version_wins_and_others_are_accepted(self):
         tables = rows.Tables()
@@ -130,7 +130,7 @@
         assert self.publish(tables, 3, "three") == outcomes.Accepted(revision=5)
         assert tables.routes_source == "five"
 
-    def test_other_content_under_the_version_held_is_not_taken(self):
+    def test_other_content_for_the_current_version_is_ignored(self):
         tables = rows.Tables()
         self.publish(tables, 5, "five")
         self.publish(tables, 5, "other")
@@ -143,8 +143,8 @@
             commands.BeginRollout("llm", "v2", 12000),
             commands.SettleUsage(7, {"a": 3}),
         ):
-            machine.apply(tables, machine.stamp(command, 1000), 9)
-        loaded = machine.load(machine.dump(tables))
+            state_machine.apply(tables, state_machine.stamp(command, 1000), 9)
+        loaded = state_machine.load(state_machine.dump(tables))
         assert loaded.routes_version == 5
         assert loaded.rollouts == tables.rollouts
         assert loaded.usage == {"7": {"a": 3}}
@@ -157,5 +157,5 @@
         tables = rows.Tables()
         for counts in ({"a": 3}, {"a": 4}):
             command = commands.SettleUsage(7, counts)
-            machine.apply(tables, machine.stamp(command, 1000), 1)
+            state_machine.apply(tables, state_machine.stamp(command, 1000), 1)
         assert tables.usage == {"7": {"a": 3}}
