--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -9,10 +9,10 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.base import settings
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import http
-from _arbutuswalk.entry import news
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import peer_updates
+from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
@@ -20,108 +20,130 @@
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-MAX_CACHE_BLOCKS = 4096
-RESTART_S = 3.0
+MAX_CACHE_EVENT_BLOCKS = 4096
+RESTART_WINDOW_S = 3.0
 """How long after its connections broke a restarted upstream announces."""
 
 
-def announce_route(entry: core.Entry):
+def announce_endpoint(entry: entry_state.Entry):
     """Returns the endpoint for announcements and heartbeats."""
 
     async def announce(
         request: http_requests.Request,
     ) -> responses.Response:
-        raw = await _read_json(request)
-        said = announcements.check(raw)
-        if isinstance(said, announcements.BadAnnouncement):
-            return _refuse("bad announcement", "; ".join(said.problems), 400)
-        refused = take(entry, said, age_s=0.0)
+        document = await _read_json(request)
+        announcement = announcements.check(document)
+        if isinstance(announcement, announcements.BadAnnouncement):
+            return _problem_response(
+                "bad announcement", "; ".join(announcement.problems), 400
+            )
+        refused = take(entry, announcement, age_s=0.0)
         if refused is not None:
             events.warn(
-                events.Event.ANNOUNCE_REFUSED, said["id"], refused.reason
+                events.Event.ANNOUNCE_REFUSED,
+                announcement["id"],
+                refused.reason,
             )
-            detail = f"{said['id']} is {refused.reason}"
-            return _refuse("announcement refused", detail, 409)
-        news.tell_others(
-            entry, {"kind": news.ANNOUNCEMENT, "said": said, "age_s": 0.0}
+            detail = f"{announcement['id']} is {refused.reason}"
+            return _problem_response("announcement refused", detail, 409)
+        peer_updates.tell_others(
+            entry,
+            {
+                "kind": peer_updates.ANNOUNCEMENT,
+                "said": announcement,
+                "age_s": 0.0,
+            },
         )
-        peers = [row["address"] for row in entry.peers.values()]
-        return responses.JSONResponse({"entries": peers})
+        addresses = [row["address"] for row in entry.peers.values()]
+        return responses.JSONResponse({"entries": addresses})
 
     return announce
 
 
-def cache_route(entry: core.Entry):
+def cache_events_endpoint(entry: entry_state.Entry):
     """Returns the endpoint for cache events."""
 
     async def cache_events(
         request: http_requests.Request,
     ) -> responses.Response:
-        raw = await _read_json(request)
-        if not _is_cache_event(raw):
+        event = await _read_json(request)
+        if not _is_cache_event(event):
             detail = "give id, incarnation, sequence, stored and removed"
-            return _refuse("bad cache event", detail, 400)
-        _take_cache_event(entry, raw)
-        news.tell_others(entry, {"kind": news.CACHE_EVENT, "event": raw})
+            return _problem_response("bad cache event", detail, 400)
+        _apply_cache_event(entry, event)
+        peer_updates.tell_others(
+            entry, {"kind": peer_updates.CACHE_EVENT, "event": event}
+        )
         return responses.JSONResponse({})
 
     return cache_events
 
 
 def take(
-    entry: core.Entry, said: announcements.Announcement, *, age_s: float
+    entry: entry_state.Entry,
+    announcement: announcements.Announcement,
+    *,
+    age_s: float,
 ) -> upstreams.Refused | None:
     """Takes an announcement that was made ``age_s`` seconds ago."""
     heard_at = entry.now() - age_s
-    outcome = upstreams.announce(entry.upstreams, said, heard_at=heard_at)
+    outcome = upstreams.announce(
+        entry.upstreams, announcement, heard_at=heard_at
+    )
     if isinstance(outcome, upstreams.Refused):
         return outcome
     if isinstance(outcome, upstreams.Joined):
         events.log(
-            events.Event.UPSTREAM_JOINED, said["id"], said["incarnation"]
+            events.Event.UPSTREAM_JOINED,
+            announcement["id"],
+            announcement["incarnation"],
         )
-        _mark_known_leaving(entry)
+        _apply_leaving_from_view(entry)
         suspicion.follow_isolations(entry)
-        _look_back(entry, outcome.replaced)
+        _report_replaced_death(entry, outcome.replaced)
     elif outcome.now_leaving:
-        transfers.on_leaving(entry, outcome.row)
-    placing.pump(entry, said["upstream"])
+        transfers.start_moving(entry, outcome.row)
+    placement.place_queued(entry, announcement["upstream"])
     return None
 
 
-def on_news(entry: core.Entry, message: ttypes.UpstreamNews) -> None:
+def on_peer_updates(
+    entry: entry_state.Entry, message: ttypes.UpstreamNews
+) -> None:
     """Takes what another entry was told."""
-    for item in message.announcements:
-        told = json.loads(item)
-        if told["kind"] == news.ANNOUNCEMENT:
-            take(entry, told["said"], age_s=told["age_s"])
-        elif told["kind"] == news.CACHE_EVENT:
-            _take_cache_event(entry, told["event"])
-        elif told["kind"] == news.SUSPECTS:
-            suspicion.on_suspects(entry, told["fingerprints"])
-
-
-def _look_back(entry: core.Entry, replaced: upstreams.Row | None) -> None:
+    for encoded in message.announcements:
+        update = json.loads(encoded)
+        if update["kind"] == peer_updates.ANNOUNCEMENT:
+            take(entry, update["said"], age_s=update["age_s"])
+        elif update["kind"] == peer_updates.CACHE_EVENT:
+            _apply_cache_event(entry, update["event"])
+        elif update["kind"] == peer_updates.SUSPECTS:
+            suspicion.add_peer_suspects(entry, update["fingerprints"])
+
+
+def _report_replaced_death(
+    entry: entry_state.Entry, replaced: upstreams.Row | None
+) -> None:
     """Reports the death of an incarnation that came back before it was seen.
 
     Its connections broke off, but a probe met the one that replaced it.
     """
     if replaced is None:
         return
-    oldest = entry.now() - RESTART_S
+    earliest = entry.now() - RESTART_WINDOW_S
     replaced.broken |= {
         fingerprint
-        for fingerprint, at in replaced.spared.items()
-        if at > oldest
+        for fingerprint, spared_at in replaced.spared.items()
+        if spared_at > earliest
     }
     if not (replaced.broken or replaced.active):
         return
     if replaced.health(replaced.heard_at) is not upstreams.Health.LEAVING:
         report = suspicion.report_death(entry, replaced)
-        entry.hold(asyncio.ensure_future(report))
+        entry.track_task(asyncio.ensure_future(report))
 
 
-def _mark_known_leaving(entry: core.Entry) -> None:
+def _apply_leaving_from_view(entry: entry_state.Entry) -> None:
     leaving = entry.view.get("leaving", {})
     upstreams.mark_leaving(entry.upstreams, leaving, entry.now())
 
@@ -136,27 +158,30 @@
         return None
 
 
-def _is_cache_event(raw: Any) -> bool:
-    if not isinstance(raw, dict) or not settings.is_text(raw.get("id")):
+def _is_cache_event(event: Any) -> bool:
+    if not isinstance(event, dict) or not settings.is_text(event.get("id")):
         return False
-    naturals = all(
-        settings.is_natural(raw.get(key)) for key in ("incarnation", "sequence")
+    numbers_valid = all(
+        settings.is_natural(event.get(key))
+        for key in ("incarnation", "sequence")
     )
-    lists = all(
-        isinstance(raw.get(key), list)
-        and len(raw[key]) <= MAX_CACHE_BLOCKS
-        and all(isinstance(block, str) for block in raw[key])
+    lists_valid = all(
+        isinstance(event.get(key), list)
+        and len(event[key]) <= MAX_CACHE_EVENT_BLOCKS
+        and all(isinstance(block, str) for block in event[key])
         for key in ("stored", "removed")
     )
-    return naturals and lists
+    return numbers_valid and lists_valid
 
 
-def _take_cache_event(entry: core.Entry, event: dict[str, Any]) -> None:
+def _apply_cache_event(entry: entry_state.Entry, event: dict[str, Any]) -> None:
     row = entry.upstreams.rows.get(event["id"])
     if row is None or row.said["incarnation"] != event["incarnation"]:
         return
     row.index.apply_event(event["sequence"], event["stored"], event["removed"])
 
 
-def _refuse(title: str, detail: str, status: int) -> responses.Response:
-    return http.problem_response(requests.bad(title, detail, status))
+def _problem_response(
+    title: str, detail: str, status: int
+) -> responses.Response:
+    return http.problem_response(requests.refusal(title, detail, status))
--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -11,7 +11,7 @@
 from _arbutuswalk.entry import announcing
 from _arbutuswalk.entry import calls
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import http
 from _arbutuswalk.entry import models
@@ -20,51 +20,53 @@
 from _arbutuswalk.state import outcomes
 
 ENTRIES_TTL_S = 10
-READ_TIMEOUT_S = 2.0
+STATUS_READ_TIMEOUT_S = 2.0
 
 
-def make(entry: core.Entry):
+def make_app(entry: entry_state.Entry):
     """Returns the ASGI application of an entry.
 
     Model routes are served before the framework's middle layers, so that
     streams see the server's own send.
     """
     entry.start_request = lambda request: models.start_task(entry, request)
-    hot = {
+    model_endpoints = {
         path: models.ModelRoute(entry=entry, route=route)
         for route, path in requests.PATHS.items()
     }
-    others = _make_others(entry)
+    fallback_app = _make_fallback_app(entry)
 
     async def serve(scope, receive, send) -> None:
-        route = hot.get(scope.get("path"))
+        route = model_endpoints.get(scope.get("path"))
         if route is not None and scope.get("method") == "POST":
             await route(scope, receive, send)
         else:
-            await others(scope, receive, send)
+            await fallback_app(scope, receive, send)
 
     return serve
 
 
-def _make_others(entry: core.Entry) -> applications.Starlette:
+def _make_fallback_app(entry: entry_state.Entry) -> applications.Starlette:
     methods = ["GET", "POST", "PUT", "PATCH", "DELETE"]
     service = services.ServiceRoute(entry=entry)
     return applications.Starlette(
         routes=[
             routing.Route("/v1/services/{rest:path}", service, methods=methods),
-            routing.Route("/v1/entries", _entries_route(entry)),
-            routing.Route("/v1/requests/{key:path}", _request_route(entry)),
+            routing.Route("/v1/entries", _entries_endpoint(entry)),
+            routing.Route(
+                "/v1/requests/{key:path}", _request_status_endpoint(entry)
+            ),
             routing.Route(
                 "/v1/upstreams/announce",
-                announcing.announce_route(entry),
+                announcing.announce_endpoint(entry),
                 methods=["POST"],
             ),
             routing.Route(
                 "/v1/upstreams/events",
-                announcing.cache_route(entry),
+                announcing.cache_events_endpoint(entry),
                 methods=["POST"],
             ),
-            routing.Route("/metrics", _metrics_route(entry)),
+            routing.Route("/metrics", _metrics_endpoint(entry)),
         ],
         exception_handlers={404: _not_found, 405: _not_found},
     )
@@ -74,13 +76,13 @@
     request: http_requests.Request, _error: Exception
 ) -> responses.Response:
     detail = f"{request.method} {request.url.path} is not served here"
-    return http.problem_response(requests.bad("no such route", detail, 404))
+    return http.problem_response(requests.refusal("no such route", detail, 404))
 
 
-def _entries_route(entry: core.Entry):
+def _entries_endpoint(entry: entry_state.Entry):
     async def entries(_: http_requests.Request) -> responses.Response:
         rows = entry.view.get("entries", {}).values()
-        addresses = [
+        serving = [
             {
                 "address": row["address"],
                 "domain": row["domain"],
@@ -91,7 +93,7 @@
         ]
         return responses.JSONResponse(
             {
-                "entries": addresses,
+                "entries": serving,
                 "ttl_s": ENTRIES_TTL_S,
                 "revision": entry.revision,
             }
@@ -100,12 +102,12 @@
     return entries
 
 
-def _request_route(entry: core.Entry):
+def _request_status_endpoint(entry: entry_state.Entry):
     async def request_status(
         request: http_requests.Request,
     ) -> responses.Response:
         headers = http.headers_of(request.scope)
-        workspace = http.workspace_of(entry, headers)
+        workspace = http.authenticate(entry, headers)
         if not isinstance(workspace, dict):
             return http.problem_response(workspace)
         key = request.path_params["key"]
@@ -118,9 +120,9 @@
 
 
 def _local_status(
-    entry: core.Entry, workspace: str, key: str
+    entry: entry_state.Entry, workspace: str, key: str
 ) -> dict[str, Any] | None:
-    request_id = entry.by_key.get((workspace, key), key)
+    request_id = entry.request_ids_by_key.get((workspace, key), key)
     request = entry.requests.get(request_id)
     if request is None or request.workspace != workspace:
         return None
@@ -141,33 +143,33 @@
 
 
 async def _recorded_status(
-    entry: core.Entry, workspace: str, key: str
+    entry: entry_state.Entry, workspace: str, key: str
 ) -> responses.Response:
-    found = await entry.control.read(
-        "call", f"{workspace}\n{key}", timeout_s=READ_TIMEOUT_S
+    reply = await entry.control.read(
+        "call", f"{workspace}\n{key}", timeout_s=STATUS_READ_TIMEOUT_S
     )
-    if isinstance(found, control_client.Unreachable):
-        problem = requests.bad("control unreachable", found.reason, 503)
+    if isinstance(reply, control_client.Unreachable):
+        problem = requests.refusal("control unreachable", reply.reason, 503)
         return http.problem_response(problem._replace(ran="unknown"))
-    state = outcomes.decode(found) if isinstance(found, dict) else None
-    if not isinstance(state, outcomes.CallState):
+    call_state = outcomes.decode(reply) if isinstance(reply, dict) else None
+    if not isinstance(call_state, outcomes.CallState):
         detail = f"nothing is known of {key!r}"
         return http.problem_response(
-            requests.bad("unknown key", detail, 404)._replace(ran="unknown")
+            requests.refusal("unknown key", detail, 404)._replace(ran="unknown")
         )
     document: dict[str, Any] = {
-        "state": state.state,
-        "entry": state.entry,
-        "route": state.route,
+        "state": call_state.state,
+        "entry": call_state.entry,
+        "route": call_state.route,
     }
-    recorded = calls.recorded(state)
-    if isinstance(recorded, exchange.Reply):
-        document["status"] = recorded.status
-        document["answer"] = recorded.body.decode(errors="replace")
+    outcome = calls.outcome_of_record(call_state)
+    if isinstance(outcome, exchange.Reply):
+        document["status"] = outcome.status
+        document["answer"] = outcome.body.decode(errors="replace")
     return responses.JSONResponse(document)
 
 
-def _metrics_route(entry: core.Entry):
+def _metrics_endpoint(entry: entry_state.Entry):
     async def metrics(_: http_requests.Request) -> responses.Response:
         return responses.PlainTextResponse(entry.metrics.render())
 
--- a/src/_arbutuswalk/entry/calls.py
+++ b/src/_arbutuswalk/entry/calls.py
@@ -12,9 +12,9 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import services
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
@@ -23,65 +23,67 @@
 from _arbutuswalk.streams import answer
 
 COMMIT_TIMEOUT_S = 3.0
-GRANT_VALID_S = 4.0
+MAX_GRANT_AGE_S = 4.0
 """How old a grant may be when the call is sent: an entry that was paused
 longer may have been declared gone meanwhile."""
-POLL_S = 0.2
-RECORD_RETRY_S = 1.0
-RECORD_TRIES = 60
-MAX_RECORDED_BYTES = 256 * 1024
+RUNNING_POLL_INTERVAL_S = 0.2
+RECORD_RETRY_INTERVAL_S = 1.0
+MAX_RECORD_ATTEMPTS = 60
+MAX_RECORDED_BODY_BYTES = 256 * 1024
 STATUS_TIMEOUT_S = 2.0
-MAX_OPEN_TRIES = 3
+MAX_CONNECT_ATTEMPTS = 3
 
 Outcome = exchange.Reply | answer.Problem
 
 
-async def run_once(entry: core.Entry, call: services.ServiceCall) -> Outcome:
+async def run_once(
+    entry: entry_state.Entry, call: services.ServiceCall
+) -> Outcome:
     """Runs a call at most once and returns its answer or what is known.
 
     A resend that comes while the call runs here waits for the same answer.
     """
     identity = (call.workspace, call.key)
-    digest = _digest(call)
-    running = entry.calls.get(identity)
-    if running is not None:
-        known_digest, future = running
+    digest = _call_digest(call)
+    known_call = entry.running_calls.get(identity)
+    if known_call is not None:
+        known_digest, future = known_call
         if known_digest != digest:
             return reused_problem()
         return await asyncio.shield(future)
     future = asyncio.get_running_loop().create_future()
-    entry.calls[identity] = (digest, future)
+    entry.running_calls[identity] = (digest, future)
     try:
-        outcome = await _begin(entry, call, digest)
+        outcome = await _commit_and_send(entry, call, digest)
     except BaseException:
         outcome = _unknown("the entry stopped while running the call")
         raise
     finally:
-        del entry.calls[identity]
+        del entry.running_calls[identity]
         if not future.done():
             future.set_result(outcome)
     return outcome
 
 
-async def _begin(
-    entry: core.Entry, call: services.ServiceCall, digest: str
+async def _commit_and_send(
+    entry: entry_state.Entry, call: services.ServiceCall, digest: str
 ) -> Outcome:
     """Commits the intent, then sends; tries again only if never opened."""
     avoid: set[str] = set()
-    for _ in range(MAX_OPEN_TRIES):
+    for _ in range(MAX_CONNECT_ATTEMPTS):
         row = await services.wait_for_upstream(entry, call, frozenset(avoid))
         if row is None:
             return _not_run("no upstream is up")
         attempt = uuid.uuid4().hex
         asked_at = entry.now()
         granted = await entry.control.submit(
-            _intent(entry, call, digest, attempt, row),
+            _begin_command(entry, call, digest, attempt, row),
             timeout_s=min(COMMIT_TIMEOUT_S, call.deadline - asked_at),
         )
         if not isinstance(granted, outcomes.Granted):
             return await _not_granted(entry, call, attempt, granted)
-        if entry.now() - asked_at > GRANT_VALID_S:
-            _withdraw_later(entry, call, attempt)
+        if entry.now() - asked_at > MAX_GRANT_AGE_S:
+            _withdraw_in_background(entry, call, attempt)
             return _not_run("the intent was committed too late")
         outcome = await _send(entry, call, attempt, row)
         if outcome is not None:
@@ -91,24 +93,24 @@
 
 
 async def _not_granted(
-    entry: core.Entry,
+    entry: entry_state.Entry,
     call: services.ServiceCall,
     attempt: str,
     outcome: object,
 ) -> Outcome:
     if isinstance(outcome, outcomes.CallState):
-        return await _known(entry, call, outcome)
+        return await _answer_resend(entry, call, outcome)
     if isinstance(outcome, outcomes.Reused):
         return reused_problem()
     if isinstance(outcome, control_client.Unreachable):
         # The intent may still be committed; it will never be sent.
-        _withdraw_later(entry, call, attempt)
+        _withdraw_in_background(entry, call, attempt)
         return _not_run("the control group did not answer")
     return _not_run("the entry has to register again")
 
 
 async def _send(
-    entry: core.Entry,
+    entry: entry_state.Entry,
     call: services.ServiceCall,
     attempt: str,
     row: upstreams.Row,
@@ -120,39 +122,39 @@
     try:
         result = await exchange.run(
             entry.pool,
-            services.order_of(call, row),
-            timeout_s=entry.values["service_timeout_s"],
+            services.make_order(call, row),
+            timeout_s=entry.settings["service_timeout_s"],
             fresh=True,
         )
     finally:
         row.ended += 1
         row.active.pop(call.call_id, None)
-        entry.note_usage(
+        entry.record_usage(
             row.said["instance"], call.workspace, entry.now() - started
         )
-    services.note_evidence(entry, call, row, result, entry.now() - started)
+    services.record_evidence(entry, call, row, result, entry.now() - started)
     if isinstance(result, exchange.NotOpened):
         row.failed_at = entry.now()
         return await _withdraw(entry, call, attempt)
     if isinstance(result, exchange.Lost):
         return await _resolve(entry, call, attempt, row)
-    _record_later(entry, _finished(call, attempt, result))
+    _record_in_background(entry, _finish_command(call, attempt, result))
     return result
 
 
 async def _withdraw(
-    entry: core.Entry, call: services.ServiceCall, attempt: str
+    entry: entry_state.Entry, call: services.ServiceCall, attempt: str
 ) -> Outcome | None:
     command = commands.WithdrawCall(call.workspace, call.key, attempt)
     outcome = await entry.control.submit(command, timeout_s=COMMIT_TIMEOUT_S)
     if isinstance(outcome, control_client.Unreachable):
-        _record_later(entry, command)
+        _record_in_background(entry, command)
         return _not_run("no connection to the upstream opened")
     return None
 
 
 async def _resolve(
-    entry: core.Entry,
+    entry: entry_state.Entry,
     call: services.ServiceCall,
     attempt: str,
     row: upstreams.Row,
@@ -160,16 +162,20 @@
     """Asks the status route what became of a call whose answer is lost."""
     events.warn(events.Event.CALL_UNKNOWN, call.key, row.key)
     entry.metrics.count("calls_unknown")
-    found = await ask_status(entry, call.upstream, call.route, call.key, row)
-    if found is not None:
-        _record_later(entry, _finished(call, attempt, found))
-        return found
-    _record_later(entry, commands.LoseCall(call.workspace, call.key, attempt))
+    reply = await query_status_route(
+        entry, call.upstream, call.route, call.key, row
+    )
+    if reply is not None:
+        _record_in_background(entry, _finish_command(call, attempt, reply))
+        return reply
+    _record_in_background(
+        entry, commands.LoseCall(call.workspace, call.key, attempt)
+    )
     return _unknown("the answer was lost on the way")
 
 
-async def ask_status(
-    entry: core.Entry,
+async def query_status_route(
+    entry: entry_state.Entry,
     upstream: inventories.Upstream,
     route: inventories.Route,
     key: str,
@@ -180,15 +186,15 @@
     A status that says "not run" proves nothing while the call may still be
     on its way, so only a positive answer counts.
     """
-    pattern = route.get("status", "")
+    status_path = route.get("status", "")
     rows = [row] if row else []
     rows += upstreams.usable(entry.upstreams, upstream["name"], entry.now())
-    if not pattern or not rows:
+    if not status_path or not rows:
         return None
     order = exchange.Order(
         address=rows[0].said["address"],
         method="GET",
-        path=pattern.replace("{key}", key),
+        path=status_path.replace("{key}", key),
         headers={},
         body=b"",
         request_id=key,
@@ -197,41 +203,43 @@
         priority=0,
         echo=rows[0].said["echo"],
     )
-    result = await exchange.run(
+    reply = await exchange.run(
         entry.pool, order, timeout_s=STATUS_TIMEOUT_S, fresh=True
     )
-    if isinstance(result, exchange.Reply) and result.status == 200:
-        return result
+    if isinstance(reply, exchange.Reply) and reply.status == 200:
+        return reply
     return None
 
 
-async def _known(
-    entry: core.Entry, call: services.ServiceCall, state: outcomes.CallState
+async def _answer_resend(
+    entry: entry_state.Entry,
+    call: services.ServiceCall,
+    state: outcomes.CallState,
 ) -> Outcome:
     """Answers a resend from the record, waiting while the call runs."""
     while state.state == "running" and entry.now() < call.deadline:
-        await asyncio.sleep(POLL_S)
-        found = await entry.control.read(
+        await asyncio.sleep(RUNNING_POLL_INTERVAL_S)
+        reply = await entry.control.read(
             "call",
             f"{call.workspace}\n{call.key}",
             timeout_s=COMMIT_TIMEOUT_S,
         )
-        if not isinstance(found, dict):
+        if not isinstance(reply, dict):
             return _unknown("the control group did not answer")
-        decoded = outcomes.decode(found)
-        if not isinstance(decoded, outcomes.CallState):
+        new_state = outcomes.decode(reply)
+        if not isinstance(new_state, outcomes.CallState):
             return _not_run("the call was withdrawn; send it again")
-        state = decoded
+        state = new_state
     if state.state == "unknown":
-        found = await ask_status(
+        reply = await query_status_route(
             entry, call.upstream, call.route, call.key, None
         )
-        if found is not None:
-            return found
-    return recorded(state)
+        if reply is not None:
+            return reply
+    return outcome_of_record(state)
 
 
-def recorded(state: outcomes.CallState) -> Outcome:
+def outcome_of_record(state: outcomes.CallState) -> Outcome:
     """Returns the answer or problem that a record stands for."""
     if state.state == "done":
         return exchange.Reply(
@@ -252,8 +260,8 @@
     return answer.Problem(409, "key reused", detail, "no")
 
 
-def _intent(
-    entry: core.Entry,
+def _begin_command(
+    entry: entry_state.Entry,
     call: services.ServiceCall,
     digest: str,
     attempt: str,
@@ -271,14 +279,14 @@
     )
 
 
-def _finished(
+def _finish_command(
     call: services.ServiceCall, attempt: str, reply: exchange.Reply
 ) -> commands.FinishCall:
     body = reply.body
     status, content_type = reply.status, reply.content_type
-    if len(body) > MAX_RECORDED_BYTES:
-        note = {"title": "answer too large to record", "ran": "yes"}
-        body, status = json.dumps(note).encode(), 200
+    if len(body) > MAX_RECORDED_BODY_BYTES:
+        notice = {"title": "answer too large to record", "ran": "yes"}
+        body, status = json.dumps(notice).encode(), 200
         content_type = "application/problem+json"
     return commands.FinishCall(
         workspace=call.workspace,
@@ -290,36 +298,44 @@
     )
 
 
-def _digest(call: services.ServiceCall) -> str:
-    head = f"{call.method} {call.upstream['name']} {call.path}\n".encode()
-    return inventories.digest(head + call.body)
+def _call_digest(call: services.ServiceCall) -> str:
+    request_line = (
+        f"{call.method} {call.upstream['name']} {call.path}\n".encode()
+    )
+    return inventories.digest(request_line + call.body)
 
 
-def _withdraw_later(
-    entry: core.Entry, call: services.ServiceCall, attempt: str
+def _withdraw_in_background(
+    entry: entry_state.Entry, call: services.ServiceCall, attempt: str
 ) -> None:
-    _record_later(
+    _record_in_background(
         entry, commands.WithdrawCall(call.workspace, call.key, attempt)
     )
 
 
-def _record_later(entry: core.Entry, command: commands.Command) -> None:
+def _record_in_background(
+    entry: entry_state.Entry, command: commands.Command
+) -> None:
     """Commits what is known of a call, however long it takes."""
-    entry.hold(asyncio.ensure_future(_record(entry, command)))
+    entry.track_task(
+        asyncio.ensure_future(_submit_until_recorded(entry, command))
+    )
 
 
-async def _record(entry: core.Entry, command: commands.Command) -> None:
-    for _ in range(RECORD_TRIES):
+async def _submit_until_recorded(
+    entry: entry_state.Entry, command: commands.Command
+) -> None:
+    for _ in range(MAX_RECORD_ATTEMPTS):
         outcome = await entry.control.submit(
             command, timeout_s=COMMIT_TIMEOUT_S
         )
         if not isinstance(outcome, control_client.Unreachable):
             return
-        await asyncio.sleep(RECORD_RETRY_S)
+        await asyncio.sleep(RECORD_RETRY_INTERVAL_S)
 
 
 def _not_run(detail: str) -> answer.Problem:
-    return answer.Problem(503, "not run", detail, "no", placing.RETRY_AFTER_S)
+    return answer.Problem(503, "not run", detail, "no", placement.RETRY_AFTER_S)
 
 
 def _unknown(detail: str) -> answer.Problem:
@@ -328,5 +344,5 @@
         "outcome unknown",
         f"{detail}; it is never sent again; ask with the same key",
         "unknown",
-        placing.RETRY_AFTER_S,
+        placement.RETRY_AFTER_S,
     )
--- a/src/_arbutuswalk/entry/control_client.py
+++ b/src/_arbutuswalk/entry/control_client.py
@@ -11,8 +11,8 @@
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-CALL_TIMEOUT_S = 1.5
-PAUSE_S = 0.05
+ATTEMPT_TIMEOUT_S = 1.5
+RETRY_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -44,9 +44,9 @@
         self, *, addresses: list[str], now: clock.Clock = clock.monotonic
     ):
         self.addresses = addresses
-        self.relays: list[str] = []
-        self.links: dict[str, link.Link] = {}
-        self.preferred = addresses[0]
+        self.relay_addresses: list[str] = []
+        self.links_by_address: dict[str, link.Link] = {}
+        self.preferred_address = addresses[0]
         self.now = now
 
     async def call(
@@ -67,14 +67,14 @@
         """
         deadline = self.now() + timeout_s
         reason = "no answer"
-        tries = 0
+        attempts = 0
         while self.now() < deadline:
-            tries += 1
-            address = self.preferred
-            if relayed and address in self.relays:
-                address = self.addresses[tries % len(self.addresses)]
+            attempts += 1
+            address = self.preferred_address
+            if relayed and address in self.relay_addresses:
+                address = self.addresses[attempts % len(self.addresses)]
             reply = await self.link_to(address).call(
-                message, timeout_s=min(CALL_TIMEOUT_S, deadline - self.now())
+                message, timeout_s=min(ATTEMPT_TIMEOUT_S, deadline - self.now())
             )
             status = getattr(reply, "status", None)
             if status in (ttypes.Status.OK, ttypes.Status.INVALID):
@@ -83,9 +83,9 @@
             if isinstance(reply, link.TimedOut):
                 # The connection may be silent for good while new ones work.
                 self.link_to(address).close("timed out")
-            self.preferred = self._next(address, reply)
+            self.preferred_address = self._next_address(address, reply)
             if status is None or not reply.leader:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
         return Unreachable(reason=reason)
 
     async def submit(
@@ -114,23 +114,23 @@
 
     def link_to(self, address: str) -> link.Link:
         """Returns the link to an address, made on first use."""
-        found = self.links.get(address)
-        if found is None:
-            found = link.Link(address=address, now=self.now)
-            self.links[address] = found
-        return found
+        existing = self.links_by_address.get(address)
+        if existing is None:
+            existing = link.Link(address=address, now=self.now)
+            self.links_by_address[address] = existing
+        return existing
 
     async def stop(self) -> None:
         """Closes all links."""
-        for each in self.links.values():
-            await each.stop()
+        for open_link in self.links_by_address.values():
+            await open_link.stop()
 
-    def _next(self, address: str, reply: object) -> str:
+    def _next_address(self, address: str, reply: object) -> str:
         """Returns whom to ask next: the named leader, or the next in turn."""
         leader = getattr(reply, "leader", None)
         if leader and leader != address:
             return leader
-        ring = [*self.addresses, *self.relays]
-        if address not in ring:
-            return ring[0]
-        return ring[(ring.index(address) + 1) % len(ring)]
+        rotation = [*self.addresses, *self.relay_addresses]
+        if address not in rotation:
+            return rotation[0]
+        return rotation[(rotation.index(address) + 1) % len(rotation)]
--- a/src/_arbutuswalk/entry/syncing.py
+++ b/src/_arbutuswalk/entry/control_sync.py
@@ -7,8 +7,8 @@
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import core
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.routing import upstreams
@@ -18,10 +18,10 @@
 
 SYNC_TIMEOUT_S = 2.0
 REGISTER_TIMEOUT_S = 2.0
-PAUSE_S = 0.1
+REGISTER_RETRY_INTERVAL_S = 0.1
 
 
-async def run(entry: core.Entry) -> None:
+async def run(entry: entry_state.Entry) -> None:
     """Keeps the entry registered and its lease fresh until cancelled."""
     while True:
         if not entry.registered:
@@ -29,20 +29,20 @@
         else:
             await _sync(entry)
         if not entry.registered:
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(REGISTER_RETRY_INTERVAL_S)
 
 
-async def _register(entry: core.Entry) -> None:
-    values = entry.values
+async def _register(entry: entry_state.Entry) -> None:
+    settings = entry.settings
     outcome = await entry.control.submit(
         commands.RegisterEntry(
             entry=entry.name,
             incarnation=entry.incarnation,
-            address=values["address"],
-            link_address=values["link_address"],
-            domain=values["domain"],
-            weight=values["weight"],
-            region=values["region"],
+            address=settings["address"],
+            link_address=settings["link_address"],
+            domain=settings["domain"],
+            weight=settings["weight"],
+            region=settings["region"],
         ),
         timeout_s=REGISTER_TIMEOUT_S,
     )
@@ -54,7 +54,7 @@
         entry.incarnation = max(entry.incarnation + 1, wall_ms)
 
 
-async def _sync(entry: core.Entry) -> None:
+async def _sync(entry: entry_state.Entry) -> None:
     """Asks for a stamp; the lease runs from before the asking."""
     asked_at = entry.now()
     message = ttypes.Sync(
@@ -62,7 +62,7 @@
         incarnation=entry.incarnation,
         view_version=entry.view_version,
         revision=entry.revision,
-        report=json.dumps(report(entry)).encode(),
+        report=json.dumps(make_report(entry)).encode(),
     )
     reply = await entry.control.call(message, timeout_s=SYNC_TIMEOUT_S)
     if isinstance(reply, control_client.Unreachable):
@@ -72,52 +72,54 @@
         return
     if reply.view_version < entry.view_version:
         return  # never go back, and take no lease from who would
-    _take_view(entry, json.loads(reply.view), reply.view_version)
-    had_lease = entry.now() < entry.lease_until
-    entry.lease_until = asked_at + reply.lease_ms / clock.MS_PER_S
+    _apply_view(entry, json.loads(reply.view), reply.view_version)
+    had_lease = entry.now() < entry.lease_expires_at
+    entry.lease_expires_at = asked_at + reply.lease_ms / clock.MS_PER_S
     if not had_lease:
         events.log(events.Event.LEASE_GAINED, entry.revision)
 
 
-def _take_view(entry: core.Entry, parts: dict[str, Any], version: int) -> None:
+def _apply_view(
+    entry: entry_state.Entry, parts: dict[str, Any], version: int
+) -> None:
     entry.view.update(parts)
     entry.view_version = version
     if "entries" in parts:
-        entry.control.relays = [
+        entry.control.relay_addresses = [
             row["link_address"] for row in entry.peers.values()
         ]
     if "quarantine" in parts:
         suspicion.follow_isolations(entry)
     if "moves" in parts:
-        _forget_cuts(entry)
+        _drop_ended_cut_offs(entry)
     if "leaving" in parts:
         marked = upstreams.mark_leaving(
             entry.upstreams, parts["leaving"], entry.now()
         )
         for row in marked:
-            transfers.on_leaving(entry, row)
+            transfers.start_moving(entry, row)
     if parts:
         for name in list(entry.queues):
-            placing.pump(entry, name)
+            placement.place_queued(entry, name)
 
 
-def _forget_cuts(entry: core.Entry) -> None:
+def _drop_ended_cut_offs(entry: entry_state.Entry) -> None:
     """Ends local cut-offs of versions that no live move brings in."""
-    live = {
+    live_versions = {
         (move["upstream"], move["new"])
         for move in entry.moves.get("live", {}).values()
     }
     entry.evidence.cut = {
         side
         for side in entry.evidence.cut
-        if (side.upstream, side.version) in live
+        if (side.upstream, side.version) in live_versions
     }
 
 
-def report(entry: core.Entry) -> dict[str, Any]:
+def make_report(entry: entry_state.Entry) -> dict[str, Any]:
     """Returns what the control group's decisions need from this entry."""
     now = entry.now()
-    known = {
+    upstream_rows = {
         row.said["id"]: [
             row.name,
             row.said["version"],
@@ -131,10 +133,10 @@
         for row in entry.upstreams.rows.values()
     }
     return {
-        "upstreams": known,
+        "upstreams": upstream_rows,
         "evidence": entry.evidence.report(),
         "cut": ["|".join(side) for side in entry.evidence.cut],
         "active": suspicion.occupied(entry),
-        "usage": entry.usage,
+        "usage": entry.slot_usage_ms,
         "waiting": {name: len(q) for name, q in entry.queues.items() if q},
     }
--- a/src/_arbutuswalk/entry/delivery.py
+++ b/src/_arbutuswalk/entry/delivery.py
@@ -11,13 +11,13 @@
 
 from starlette import responses
 
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import http
 from _arbutuswalk.entry import requests
 from _arbutuswalk.streams import answer as answers
 from _arbutuswalk.streams import framing
 
-KEEP_ALIVE_S = 5.0
+KEEP_ALIVE_INTERVAL_S = 5.0
 RESET_EVENT = b"event: reset\ndata: {}\n\n"
 STREAM_HEADERS = (
     (b"content-type", b"text/event-stream"),
@@ -25,7 +25,7 @@
 )
 
 
-class Reader:
+class AnswerReader:
     """One caller's place in an answer.
 
     Attributes:
@@ -38,55 +38,59 @@
         wrote: Whether anything was written since the last look.
     """
 
-    def __init__(self, *, answer: answers.Answer, send: http.Send, start: int):
+    def __init__(
+        self, *, answer: answers.Answer, send: http.Send, first_event: int
+    ):
         self.answer = answer
         self.send = send
-        self.flow = getattr(getattr(send, "__self__", None), "flow", None)
-        self.position = start
-        self.direct = False
-        self.grown = asyncio.Event()
-        self.wrote = False
+        self.flow_control = getattr(
+            getattr(send, "__self__", None), "flow", None
+        )
+        self.next_event = first_event
+        self.write_directly = False
+        self.wakeup = asyncio.Event()
+        self.wrote_recently = False
 
     def __call__(self) -> None:
         """Writes what is new, or wakes the connection's task."""
-        keeps_up = self.direct and not self.flow.write_paused
-        if not keeps_up or self.answer.ended:
-            self.grown.set()
+        writable = self.write_directly and not self.flow_control.write_paused
+        if not writable or self.answer.ended:
+            self.wakeup.set()
             return
-        data = self.take()
+        data = self.take_unsent()
         if data:
-            _send_now(self.send, _part(data))
+            _send_without_waiting(self.send, _body_message(data))
 
-    def take(self) -> bytes:
+    def take_unsent(self) -> bytes:
         """Returns the events that were not sent yet."""
-        data = self.answer.framed(self.position)
-        self.position = max(self.position, len(self.answer.events))
-        self.wrote = self.wrote or bool(data)
+        data = self.answer.framed(self.next_event)
+        self.next_event = max(self.next_event, len(self.answer.events))
+        self.wrote_recently = self.wrote_recently or bool(data)
         return data
 
 
-def _send_now(send: http.Send, message: dict[str, Any]) -> None:
+def _send_without_waiting(send: http.Send, message: dict[str, Any]) -> None:
     """Runs an ASGI send to its end at once.
 
     The server's send only waits while writing is paused, which the caller has
     ruled out.
     """
-    running = send(message)
+    coroutine = send(message)
     try:
-        running.send(None)
+        coroutine.send(None)
     except StopIteration:
         return
-    running.close()
+    coroutine.close()
     raise RuntimeError("send waited although writing was not paused")
 
 
 async def deliver(
-    entry: core.Entry,
+    entry: entry_state.Entry,
     request: requests.ModelRequest,
     receive: http.Receive,
     send: http.Send,
     *,
-    start: int = 0,
+    first_event: int = 0,
     reset: bool = False,
 ) -> None:
     """Delivers an answer from event ``start`` on until it ends.
@@ -94,20 +98,22 @@
     Returns early when the caller goes away; the request then counts as
     orphaned and is cancelled if nobody resumes it.
     """
-    reader = Reader(answer=request.answer, send=send, start=start)
+    reader = AnswerReader(
+        answer=request.answer, send=send, first_event=first_event
+    )
     request.answer.readers.add(reader)
-    request.orphaned_at = None
-    gone = asyncio.ensure_future(_wait_for_disconnect(receive))
+    request.unread_since = None
+    disconnected = asyncio.ensure_future(_wait_for_disconnect(receive))
     try:
         if request.streamed:
-            await _stream(reader, gone, reset)
+            await _deliver_stream(reader, disconnected, reset)
         else:
-            await _whole(request, reader, gone)
+            await _deliver_whole(request, reader, disconnected)
     finally:
-        gone.cancel()
+        disconnected.cancel()
         request.answer.readers.discard(reader)
         if not request.answer.readers:
-            request.orphaned_at = entry.now()
+            request.unread_since = entry.now()
 
 
 async def _wait_for_disconnect(receive: http.Receive) -> None:
@@ -115,98 +121,104 @@
         pass
 
 
-async def _stream(reader: Reader, gone: asyncio.Future, reset: bool) -> None:
+async def _deliver_stream(
+    reader: AnswerReader, disconnected: asyncio.Future, reset: bool
+) -> None:
     answer, send = reader.answer, reader.send
     while not answer.events and not answer.ended:
-        if not await _wait(reader, gone):
+        if not await _wait_for_wakeup(reader, disconnected):
             return
     if answer.problem is not None and not answer.events:
         await _send_problem(answer.problem, send)
         return
-    await send(_start(answer.request_id))
+    await send(_start_message(answer.request_id))
     if reset:
-        await send(_part(RESET_EVENT))
+        await send(_body_message(RESET_EVENT))
     while not answer.ended:
-        data = reader.take()
+        data = reader.take_unsent()
         if data:
-            await send(_part(data))
+            await send(_body_message(data))
             continue  # more may have come while the caller was slow
-        reader.direct = reader.flow is not None
-        alive = await _wait(reader, gone)
-        reader.direct = False
-        if not alive:
+        reader.write_directly = reader.flow_control is not None
+        connected = await _wait_for_wakeup(reader, disconnected)
+        reader.write_directly = False
+        if not connected:
             return
-        if not reader.wrote:
-            await send(_part(framing.KEEP_ALIVE))
-        reader.wrote = False
-    await _end_stream(reader)
+        if not reader.wrote_recently:
+            await send(_body_message(framing.KEEP_ALIVE))
+        reader.wrote_recently = False
+    await _send_stream_end(reader)
 
 
-async def _end_stream(reader: Reader) -> None:
-    data = reader.take()
+async def _send_stream_end(reader: AnswerReader) -> None:
+    data = reader.take_unsent()
     if reader.answer.problem is not None:
         document = http.problem_json(reader.answer.problem)
         data += b"event: problem\ndata: " + document + b"\n\n"
     await reader.send({"type": "http.response.body", "body": data})
 
 
-async def _wait(reader: Reader, gone: asyncio.Future) -> bool:
+async def _wait_for_wakeup(
+    reader: AnswerReader, disconnected: asyncio.Future
+) -> bool:
     """Waits until woken or for a keep-alive; false if the caller is gone."""
-    if gone.done():
+    if disconnected.done():
         return False
-    if not reader.grown.is_set():
-        growing = asyncio.ensure_future(reader.grown.wait())
+    if not reader.wakeup.is_set():
+        waiting = asyncio.ensure_future(reader.wakeup.wait())
         await asyncio.wait(
-            (growing, gone),
-            timeout=KEEP_ALIVE_S,
+            (waiting, disconnected),
+            timeout=KEEP_ALIVE_INTERVAL_S,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        growing.cancel()
-    if reader.grown.is_set():
-        reader.grown.clear()
-        reader.wrote = True
-    return not gone.done()
+        waiting.cancel()
+    if reader.wakeup.is_set():
+        reader.wakeup.clear()
+        reader.wrote_recently = True
+    return not disconnected.done()
 
 
-async def _whole(
-    request: requests.ModelRequest, reader: Reader, gone: asyncio.Future
+async def _deliver_whole(
+    request: requests.ModelRequest,
+    reader: AnswerReader,
+    disconnected: asyncio.Future,
 ) -> None:
     answer = request.answer
     while not answer.ended:
-        if not await _wait(reader, gone):
+        if not await _wait_for_wakeup(reader, disconnected):
             return
     if answer.problem is not None:
         await _send_problem(answer.problem, reader.send)
         return
     response = responses.Response(
-        json.dumps(whole_body(request)).encode(),
+        json.dumps(completion_body(request)).encode(),
         media_type="application/json",
         headers={"X-Request-Id": request.request_id},
     )
     await response({"type": "http"}, None, reader.send)
 
 
-def whole_body(request: requests.ModelRequest) -> dict[str, Any]:
+def completion_body(request: requests.ModelRequest) -> dict[str, Any]:
     """Returns the usual body of an answer that was not streamed."""
     text = request.answer.text()
-    usage = _usage(request)
+    usage = _reported_usage(request)
     if request.route == "chat":
         message = {"role": "assistant", "content": text}
         choice = {"index": 0, "message": message, "finish_reason": "stop"}
-        kind = "chat.completion"
+        object_type = "chat.completion"
     else:
         choice = {"index": 0, "text": text, "finish_reason": "stop"}
-        kind = "text_completion"
+        object_type = "text_completion"
     return {
         "id": request.request_id,
-        "object": kind,
+        "object": object_type,
         "model": request.upstream,
         "choices": [choice],
         "usage": usage,
     }
 
 
-def _usage(request: requests.ModelRequest) -> dict[str, int]:
+def _reported_usage(request: requests.ModelRequest) -> dict[str, int]:
     for event in reversed(request.answer.events):
         payload = framing.payload_of(event)
         if payload and payload.get("usage"):
@@ -219,10 +231,10 @@
     await response({"type": "http"}, None, send)
 
 
-def _start(request_id: str) -> dict[str, Any]:
+def _start_message(request_id: str) -> dict[str, Any]:
     headers = [*STREAM_HEADERS, (b"x-request-id", request_id.encode())]
     return {"type": "http.response.start", "status": 200, "headers": headers}
 
 
-def _part(data: bytes) -> dict[str, Any]:
+def _body_message(data: bytes) -> dict[str, Any]:
     return {"type": "http.response.body", "body": data, "more_body": True}
--- a/src/_arbutuswalk/entry/core.py
+++ b/src/_arbutuswalk/entry/entry_state.py
@@ -19,10 +19,10 @@
 from _arbutuswalk.streams import pool
 from _arbutuswalk.wire import link
 
-FIRST_SPEED = 16.0
+INITIAL_TOKENS_PER_S = 16.0
 """Tokens a second that a slot is taken to give before any was seen."""
-SPEED_GAIN = 0.1
-LEAST_TOKENS = 8
+SPEED_SMOOTHING = 0.1
+MIN_TOKENS_FOR_SPEED = 8
 
 
 class Entry:
@@ -64,46 +64,46 @@
     def __init__(
         self,
         *,
-        values: dict[str, Any],
+        settings: dict[str, Any],
         incarnation: int,
         session: aiohttp.ClientSession,
         now: clock.Clock = clock.monotonic,
         wall: clock.Clock = clock.wall,
         rng: random.Random | None = None,
     ):
-        self.values = values
-        self.name = values["id"]
+        self.settings = settings
+        self.name = settings["id"]
         self.incarnation = incarnation
         self.now = now
         self.wall = wall
         self.rng = rng or random.Random()
         self.session = session
         self.pool = pool.Pool(
-            read=attempts.read_reply, connect_s=values["connect_s"], now=now
+            read=attempts.read_reply, connect_s=settings["connect_s"], now=now
         )
         self.view: dict[str, Any] = {}
         self.view_version = 0
         self.registered = False
-        self.lease_until = float("-inf")
+        self.lease_expires_at = float("-inf")
         self.draining = False
         self.upstreams = upstreams.Table()
         self.queues: dict[str, fair.FairQueue] = {}
-        self.budgets: dict[str, budget.Budget] = {}
+        self.retry_budgets: dict[str, budget.Budget] = {}
         self.evidence = evidence.Evidence()
         self.requests: dict[str, requests.ModelRequest] = {}
-        self.by_key: dict[tuple[str, str], str] = {}
-        self.calls: dict[tuple[str, str], Any] = {}
-        self.suspects: set[str] = set()
-        self.heard_suspects: dict[str, float] = {}
-        self.reported: dict[str, Any] = {}
+        self.request_ids_by_key: dict[tuple[str, str], str] = {}
+        self.running_calls: dict[tuple[str, str], Any] = {}
+        self.local_suspects: set[str] = set()
+        self.peer_suspects: dict[str, float] = {}
+        self.death_reports: dict[str, Any] = {}
         self.copies: dict[str, Any] = {}
-        self.news_links: dict[str, link.Link] = {}
+        self.peer_links: dict[str, link.Link] = {}
         self.tasks: set[asyncio.Future] = set()
-        self.speeds: dict[str, float] = {}
-        self.usage: dict[str, dict[str, int]] = {}
+        self.slot_speeds: dict[str, float] = {}
+        self.slot_usage_ms: dict[str, dict[str, int]] = {}
         self.metrics = metrics.Metrics()
         self.control = control_client.ControlClient(
-            addresses=values["control"], now=now
+            addresses=settings["control"], now=now
         )
         self.start_request = lambda request: None
 
@@ -118,9 +118,9 @@
         return self.view.get("configuration", {}).get("revision", 0)
 
     @property
-    def admits(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether new work may be accepted right now."""
-        return self.now() < self.lease_until and self.inventory is not None
+        return self.now() < self.lease_expires_at and self.inventory is not None
 
     @property
     def moves(self) -> dict[str, Any]:
@@ -133,55 +133,63 @@
         entries = self.view.get("entries", {})
         return {name: row for name, row in entries.items() if name != self.name}
 
-    def queue_of(self, name: str) -> fair.FairQueue:
+    def queue_for(self, name: str) -> fair.FairQueue:
         """Returns the queue of an upstream name."""
         return self.queues.setdefault(name, fair.FairQueue())
 
-    def budget_of(self, name: str) -> budget.Budget:
+    def retry_budget_for(self, name: str) -> budget.Budget:
         """Returns the retry budget of an upstream name."""
-        found = self.budgets.get(name)
-        if found is None:
-            found = budget.Budget(now=self.now())
-            self.budgets[name] = found
-        return found
+        retry_budget = self.retry_budgets.get(name)
+        if retry_budget is None:
+            retry_budget = budget.Budget(now=self.now())
+            self.retry_budgets[name] = retry_budget
+        return retry_budget
 
     def link_to(self, address: str) -> link.Link:
         """Returns the link to another entry."""
-        found = self.news_links.get(address)
-        if found is None:
-            found = link.Link(address=address, now=self.now)
-            self.news_links[address] = found
-        return found
-
-    def note_usage(self, instance: str, workspace: str, seconds: float) -> None:
+        peer_link = self.peer_links.get(address)
+        if peer_link is None:
+            peer_link = link.Link(address=address, now=self.now)
+            self.peer_links[address] = peer_link
+        return peer_link
+
+    def record_usage(
+        self, instance: str, workspace: str, seconds: float
+    ) -> None:
         """Adds time that a workspace held a slot of an instance."""
-        of_instance = self.usage.setdefault(instance, {})
-        spent_ms = int(seconds * clock.MS_PER_S)
-        of_instance[workspace] = of_instance.get(workspace, 0) + spent_ms
+        usage_by_workspace = self.slot_usage_ms.setdefault(instance, {})
+        used_ms = int(seconds * clock.MS_PER_S)
+        usage_by_workspace[workspace] = (
+            usage_by_workspace.get(workspace, 0) + used_ms
+        )
 
-    def speed_of(self, name: str) -> float:
+    def slot_speed(self, name: str) -> float:
         """Returns the tokens a second that a slot of an upstream gives."""
-        return self.speeds.get(name, FIRST_SPEED)
+        return self.slot_speeds.get(name, INITIAL_TOKENS_PER_S)
 
-    def learn_speed(self, name: str, tokens: int, seconds: float) -> None:
+    def update_slot_speed(self, name: str, tokens: int, seconds: float) -> None:
         """Notes how fast one attempt was."""
-        if tokens < LEAST_TOKENS or seconds <= 0:
+        if tokens < MIN_TOKENS_FOR_SPEED or seconds <= 0:
             return
-        old = self.speed_of(name)
-        self.speeds[name] = old + SPEED_GAIN * (tokens / seconds - old)
+        speed = self.slot_speed(name)
+        self.slot_speeds[name] = speed + SPEED_SMOOTHING * (
+            tokens / seconds - speed
+        )
 
-    def hold(self, task: asyncio.Future) -> None:
+    def track_task(self, task: asyncio.Future) -> None:
         """Keeps a background task alive until it is done."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Tells whether a request ran where an upstream died."""
-        known = self.view.get("quarantine", {}).get("suspects", ())
-        heard_until = self.heard_suspects.get(fingerprint, 0.0)
-        if heard_until > self.now():
+        view_suspects = self.view.get("quarantine", {}).get("suspects", ())
+        peer_suspect_until = self.peer_suspects.get(fingerprint, 0.0)
+        if peer_suspect_until > self.now():
             return True
-        return fingerprint in self.suspects or fingerprint in known
+        return (
+            fingerprint in self.local_suspects or fingerprint in view_suspects
+        )
 
     def convicted_until_ms(self, fingerprint: str) -> int:
         """Returns until when a request is refused, zero if it is not."""
--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -11,7 +11,7 @@
 from _arbutuswalk.streams import pool as pools
 from _arbutuswalk.streams import replies
 
-BODY_METHODS = ("POST", "PUT", "PATCH")
+METHODS_WITH_BODY = ("POST", "PUT", "PATCH")
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 
 
@@ -81,50 +81,50 @@
         fresh: Whether the call needs a connection that was never used, which
             cannot be silent from an earlier use.
     """
-    until = clock.monotonic() + timeout_s
+    deadline = clock.monotonic() + timeout_s
     if fresh:
-        opened = await pool.open(order.address)
+        connection = await pool.open(order.address)
     else:
-        opened = await pool.take(order.address, careful=False)
-    if isinstance(opened, pools.NotOpened):
-        return NotOpened(reason=opened.reason)
+        connection = await pool.take(order.address, careful=False)
+    if isinstance(connection, pools.NotOpened):
+        return NotOpened(reason=connection.reason)
     exchange = connections.Exchange(
         sent_id=order.attempt_id, has_body=order.method != "HEAD"
     )
-    opened.begin(encode(order), exchange)
+    connection.begin(encode_request(order), exchange)
     try:
-        result = await _follow(opened, exchange, order, until)
+        result = await _read_reply(connection, exchange, order, deadline)
     except BaseException:
-        opened.abort()
+        connection.abort()
         raise
     if isinstance(result, Reply):
-        pool.give_back(opened)
+        pool.give_back(connection)
     else:
-        opened.abort()
+        connection.abort()
     return result
 
 
-async def _follow(
-    opened: connections.Connection,
+async def _read_reply(
+    connection: connections.Connection,
     exchange: connections.Exchange,
     order: Order,
-    until: float,
+    deadline: float,
 ) -> Result:
     """Collects a whole answer whose end can be told from a cut."""
     body = bytearray()
     while True:
         body += exchange.take()
-        opened.taken()
+        connection.taken()
         if attempts.crossed(exchange, order.echo):
-            got = exchange.crossed_id
-            return Lost(reason=f"answer to another attempt: {got!r}")
-        if opened.until_close:
+            answered_id = exchange.crossed_id
+            return Lost(reason=f"answer to another attempt: {answered_id!r}")
+        if connection.until_close:
             return Lost(reason="answer without length or end marker")
         if len(body) > MAX_REPLY_BYTES:
             return Lost(reason="answer too large")
         if exchange.over:
             break
-        left_s = until - clock.monotonic()
+        left_s = deadline - clock.monotonic()
         if not await exchange.news_within(left_s):
             return Lost(reason="no whole answer in time")
     if not exchange.complete:
@@ -137,7 +137,7 @@
     )
 
 
-def encode(order: Order) -> bytes:
+def encode_request(order: Order) -> bytes:
     """Returns the bytes of a call."""
     target = yarl.URL(f"http://{order.address}{order.path}").raw_path_qs
     headers = {
@@ -149,7 +149,7 @@
     }
     if order.key:
         headers["Idempotency-Key"] = order.key
-    if order.body or order.method in BODY_METHODS:
+    if order.body or order.method in METHODS_WITH_BODY:
         headers["Content-Length"] = str(len(order.body))
     lines = [f"{order.method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
--- a/src/_arbutuswalk/entry/running.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -4,8 +4,8 @@
 import uuid
 
 from _arbutuswalk.base import events
-from _arbutuswalk.entry import core
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
@@ -16,12 +16,12 @@
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import attempts
 
-MAX_DECLINED = 4
-BUDGET_PAUSE_S = 0.05
-RETRY_STATUSES = (429, 500, 502, 503, 504)
+MAX_DECLINED_ATTEMPTS = 4
+BUDGET_POLL_INTERVAL_S = 0.05
+RETRYABLE_STATUSES = (429, 500, 502, 503, 504)
 
 
-class Run:
+class RunState:
     """State of a running request between its attempts.
 
     Attributes:
@@ -37,21 +37,21 @@
     def __init__(
         self,
         *,
-        entry: core.Entry,
+        entry: entry_state.Entry,
         request: requests.ModelRequest,
         ticket: fair.Ticket | None,
     ):
         self.entry = entry
         self.request = request
         self.avoid: set[str] = set()
-        self.declined = 0
-        self.again: upstreams.Row | None = None
-        self.free_retry = True
+        self.declined_attempts = 0
+        self.row_to_retry: upstreams.Row | None = None
+        self.budget_exempt = True
         self.ticket = ticket
 
 
 async def run(
-    entry: core.Entry,
+    entry: entry_state.Entry,
     request: requests.ModelRequest,
     ticket: fair.Ticket,
 ) -> None:
@@ -62,120 +62,122 @@
         request: The request.
         ticket: Its place in the queue.
     """
-    state = Run(entry=entry, request=request, ticket=ticket)
-    entry.budget_of(request.upstream).deposit()
+    state = RunState(entry=entry, request=request, ticket=ticket)
+    entry.retry_budget_for(request.upstream).deposit()
     while not request.answer.ended:
-        if not await _may_try(state):
-            _give_up(state)
+        if not await _wait_for_budget(state):
+            _fail_at_deadline(state)
             return
-        row = await _place(state)
+        row = await _reserve_upstream(state)
         if isinstance(row, answer.Problem):
             request.answer.fail(row)
             return
         if row is None:
-            _give_up(state)
+            _fail_at_deadline(state)
             return
         await _attempt(state, row)
 
 
-async def _may_try(state: Run) -> bool:
+async def _wait_for_budget(state: RunState) -> bool:
     """Waits for the retry budget; false when the deadline passes."""
     entry, request = state.entry, state.request
-    budget = entry.budget_of(request.upstream)
+    budget = entry.retry_budget_for(request.upstream)
     while entry.now() < request.deadline:
-        if state.free_retry or budget.withdraw(entry.now()):
-            state.free_retry = False
+        if state.budget_exempt or budget.withdraw(entry.now()):
+            state.budget_exempt = False
             return True
-        await asyncio.sleep(BUDGET_PAUSE_S)
+        await asyncio.sleep(BUDGET_POLL_INTERVAL_S)
     return False
 
 
-async def _place(state: Run) -> upstreams.Row | answer.Problem | None:
+async def _reserve_upstream(
+    state: RunState,
+) -> upstreams.Row | answer.Problem | None:
     entry, request = state.entry, state.request
     until_ms = entry.convicted_until_ms(request.fingerprint)
     if until_ms:
         return suspicion.convicted_problem(request, until_ms)
     avoid = frozenset(state.avoid)
-    again, state.again = state.again, None
+    row_to_retry, state.row_to_retry = state.row_to_retry, None
     ticket, state.ticket = state.ticket, None
     if entry.is_suspect(request.fingerprint):
         if ticket is not None:
-            placing.forget(entry, ticket)
-        return await suspicion.place_alone(entry, request, avoid=avoid)
+            placement.leave_queue(entry, ticket)
+        return await suspicion.place_isolated(entry, request, avoid=avoid)
     now = entry.now()
-    if again and again.health(now) is upstreams.Health.USABLE:
-        placing.reserve(again, request)
-        return again
+    if row_to_retry and row_to_retry.health(now) is upstreams.Health.USABLE:
+        placement.reserve(row_to_retry, request)
+        return row_to_retry
     if ticket is None:
-        ticket = placing.enqueue(entry, request, avoid=avoid)
-    return await placing.place(entry, request, ticket)
+        ticket = placement.enqueue(entry, request, avoid=avoid)
+    return await placement.wait_for_placement(entry, request, ticket)
 
 
-async def _attempt(state: Run, row: upstreams.Row) -> None:
+async def _attempt(state: RunState, row: upstreams.Row) -> None:
     entry, request = state.entry, state.request
     started = entry.now()
-    before = len(request.answer.events)
+    events_before = len(request.answer.events)
     request.attempts += 1
     request.sent = True
-    request.move.clear()
-    _explain(state, f"attempt {request.attempts} on {row.key} at {before}")
-    first_token: list[float] = []
+    request.move_requested.clear()
+    _add_to_history(
+        state, f"attempt {request.attempts} on {row.key} at {events_before}"
+    )
+    first_token_s: list[float] = []
 
-    def feed(new: list[bytes]) -> None:
-        if not first_token:
-            first_token.append(entry.now() - started)
-            _record(entry, row, "first_token", first_token[0])
-        request.answer.add(new)
+    def on_events(new_events: list[bytes]) -> None:
+        if not first_token_s:
+            first_token_s.append(entry.now() - started)
+            _record_latency(entry, row, "first_token", first_token_s[0])
+        request.answer.add(new_events)
 
     try:
-        result = await _run_or_move(state, row, feed)
+        result = await _run_or_move(state, row, on_events)
         if isinstance(result, attempts.Broke | attempts.Silent):
             row.broken.add(request.fingerprint)
     except asyncio.CancelledError:
-        suspicion.release_later(entry, request)
+        suspicion.release_isolation_in_background(entry, request)
         raise
     finally:
-        placing.release(entry, row, request)
-        entry.note_usage(
+        placement.release(entry, row, request)
+        entry.record_usage(
             row.said["instance"], request.workspace, entry.now() - started
         )
-    entry.learn_speed(
+    entry.update_slot_speed(
         request.upstream,
-        len(request.answer.events) - before,
+        len(request.answer.events) - events_before,
         entry.now() - started,
     )
-    _count_recomputed(state, result, before)
-    _note_evidence(state, row, result, first_token)
-    await _settle(state, row, result)
+    _count_recomputed_tokens(state, result, events_before)
+    _record_evidence(state, row, result, first_token_s)
+    await _handle_result(state, row, result)
 
 
 async def _run_or_move(
-    state: Run, row: upstreams.Row, feed: attempts.Feed
+    state: RunState, row: upstreams.Row, on_events: attempts.Feed
 ) -> attempts.Result:
     """Runs the attempt, or stops it once its work was moved elsewhere."""
     entry, request = state.entry, state.request
-    running = asyncio.ensure_future(
-        attempts.run(_order(state, row), _deadlines(entry), feed)
+    attempt = asyncio.ensure_future(
+        attempts.run(_order(state, row), _attempt_deadlines(entry), on_events)
     )
-    moving = asyncio.ensure_future(request.move.wait())
+    move = asyncio.ensure_future(request.move_requested.wait())
     try:
-        await asyncio.wait(
-            (running, moving), return_when=asyncio.FIRST_COMPLETED
-        )
-        if running.done():
-            return running.result()
+        await asyncio.wait((attempt, move), return_when=asyncio.FIRST_COMPLETED)
+        if attempt.done():
+            return attempt.result()
         await transfers.export_cache(entry, row, request)
-        if running.done():
-            return running.result()
+        if attempt.done():
+            return attempt.result()
         return attempts.Stopped()
     finally:
-        moving.cancel()
-        if not running.done():
-            running.cancel()
-            await asyncio.gather(running, return_exceptions=True)
+        move.cancel()
+        if not attempt.done():
+            attempt.cancel()
+            await asyncio.gather(attempt, return_exceptions=True)
 
 
-def _order(state: Run, row: upstreams.Row) -> attempts.Order:
+def _order(state: RunState, row: upstreams.Row) -> attempts.Order:
     request = state.request
     body = {**request.body, "stream": True}
     if request.answer.events:
@@ -194,43 +196,43 @@
     )
 
 
-def _deadlines(entry: core.Entry) -> attempts.Deadlines:
+def _attempt_deadlines(entry: entry_state.Entry) -> attempts.Deadlines:
     return attempts.Deadlines(
-        connect_s=entry.values["connect_s"],
-        first_byte_s=entry.values["first_byte_s"],
-        gap_s=entry.values["gap_s"],
+        connect_s=entry.settings["connect_s"],
+        first_byte_s=entry.settings["first_byte_s"],
+        gap_s=entry.settings["gap_s"],
     )
 
 
-async def _settle(
-    state: Run, row: upstreams.Row, result: attempts.Result
+async def _handle_result(
+    state: RunState, row: upstreams.Row, result: attempts.Result
 ) -> None:
     """Decides what an attempt's result means for the request."""
     entry, request = state.entry, state.request
     if isinstance(result, attempts.Completed):
         request.answer.finish()
-        await suspicion.release(entry, request, cleared=True)
+        await suspicion.release_isolation(entry, request, cleared=True)
         return
     reason = f"{type(result).__name__}: {result}"
     events.log(events.Event.ATTEMPT_FAILED, request.request_id, row.key, reason)
     entry.metrics.count("attempts_failed", f'kind="{type(result).__name__}"')
-    _explain(state, f"ended by {type(result).__name__}")
+    _add_to_history(state, f"ended by {type(result).__name__}")
     died, blamed = await _look_for_death(state, row, result)
     if not died and request.fingerprint in row.broken:
         row.broken.discard(request.fingerprint)
         row.spared[request.fingerprint] = entry.now()
     # Work lost with its upstream is no sign of overload.
-    state.free_retry = died or _was_announced(state, row, result)
+    state.budget_exempt = died or _left_on_notice(state, row, result)
     if blamed == request.fingerprint:
         until_ms = entry.convicted_until_ms(request.fingerprint)
         request.answer.fail(suspicion.convicted_problem(request, until_ms))
         return
-    await suspicion.release(entry, request, cleared=False)
-    _choose_next(state, row, result)
+    await suspicion.release_isolation(entry, request, cleared=False)
+    _prepare_retry(state, row, result)
 
 
-def _choose_next(
-    state: Run, row: upstreams.Row, result: attempts.Result
+def _prepare_retry(
+    state: RunState, row: upstreams.Row, result: attempts.Result
 ) -> None:
     if isinstance(result, attempts.Stopped):
         state.avoid.add(row.key)
@@ -239,7 +241,7 @@
     if silent and row.key not in state.avoid:
         # The connection may be at fault rather than the upstream, whose
         # cache is warm: try it once more before any other.
-        state.again = row
+        state.row_to_retry = row
     if isinstance(result, attempts.NotConnected):
         row.failed_at = state.entry.now()
     state.avoid.add(row.key)
@@ -247,10 +249,10 @@
         _count_declined(state, result)
 
 
-def _count_declined(state: Run, result: attempts.Declined) -> None:
-    state.declined += 1
-    final = result.status not in RETRY_STATUSES
-    if final or state.declined >= MAX_DECLINED:
+def _count_declined(state: RunState, result: attempts.Declined) -> None:
+    state.declined_attempts += 1
+    final = result.status not in RETRYABLE_STATUSES
+    if final or state.declined_attempts >= MAX_DECLINED_ATTEMPTS:
         status = result.status if final else 502
         state.request.answer.fail(
             answer.Problem(status, "upstream error", result.detail, "yes")
@@ -258,7 +260,7 @@
 
 
 async def _look_for_death(
-    state: Run, row: upstreams.Row, result: attempts.Result
+    state: RunState, row: upstreams.Row, result: attempts.Result
 ) -> tuple[bool, str]:
     """Reports an unannounced death.
 
@@ -276,69 +278,73 @@
     return True, await suspicion.report_death(state.entry, row)
 
 
-def _was_announced(
-    state: Run, row: upstreams.Row, result: attempts.Result
+def _left_on_notice(
+    state: RunState, row: upstreams.Row, result: attempts.Result
 ) -> bool:
     leaving = row.health(state.entry.now()) is upstreams.Health.LEAVING
     return leaving or isinstance(result, attempts.Stopped)
 
 
-def _note_evidence(
-    state: Run,
+def _record_evidence(
+    state: RunState,
     row: upstreams.Row,
     result: attempts.Result,
-    first_token: list[float],
+    first_token_s: list[float],
 ) -> None:
     entry, request = state.entry, state.request
-    if _was_announced(state, row, result):
+    if _left_on_notice(state, row, result):
         return  # a reclaim is not the version's fault
     if isinstance(result, attempts.NotConnected):
         return
-    wanted, old = versions.pick(
+    assigned, previous = versions.pick(
         entry.moves, request.upstream, request.route, request.request_id
     )
     version = row.said["version"]
     side = evidence.Side(request.upstream, version, request.route)
-    baseline = evidence.Side(request.upstream, old, request.route)
-    cut = entry.evidence.note(
+    baseline = evidence.Side(request.upstream, previous, request.route)
+    cut_off = entry.evidence.note(
         side,
         failed=not isinstance(result, attempts.Completed),
-        latency_s=first_token[0] if first_token else 0.0,
-        baseline=baseline if old else None,
-        on_trial=bool(old) and version == wanted,
+        latency_s=first_token_s[0] if first_token_s else 0.0,
+        baseline=baseline if previous else None,
+        on_trial=bool(previous) and version == assigned,
     )
-    if cut:
+    if cut_off:
         events.warn(events.Event.VERSION_CUT_OFF, *side)
 
 
-def _count_recomputed(state: Run, result: attempts.Result, before: int) -> None:
+def _count_recomputed_tokens(
+    state: RunState, result: attempts.Result, events_before: int
+) -> None:
     """Counts prompt and delivered tokens that a later attempt read anew."""
     request = state.request
     if request.attempts <= 1 or isinstance(result, attempts.NotConnected):
         return
-    cached = getattr(result, "cached_tokens", 0)
-    known = request.features.prompt_tokens + before
-    state.entry.metrics.count("recomputed_tokens", by=max(0, known - cached))
-    if before:
+    cached_tokens = getattr(result, "cached_tokens", 0)
+    known_tokens = request.features.prompt_tokens + events_before
+    state.entry.metrics.count(
+        "recomputed_tokens", by=max(0, known_tokens - cached_tokens)
+    )
+    if events_before:
         state.entry.metrics.count("resumed")
         events.log(
-            events.Event.STREAM_CONTINUED, request.request_id, "", before
+            events.Event.STREAM_CONTINUED, request.request_id, "", events_before
         )
 
 
-def _record(
-    entry: core.Entry, row: upstreams.Row, name: str, seconds: float
+def _record_latency(
+    entry: entry_state.Entry, row: upstreams.Row, name: str, seconds: float
 ) -> None:
     labels = f'upstream="{row.name}",version="{row.said["version"]}"'
     entry.metrics.record(name, labels, seconds)
 
 
-def _explain(state: Run, text: str) -> None:
-    at = state.entry.now() - state.request.accepted_at
-    state.request.history.append(f"{at:.3f} s: {text}")
+def _add_to_history(state: RunState, text: str) -> None:
+    elapsed_s = state.entry.now() - state.request.accepted_at
+    state.request.history.append(f"{elapsed_s:.3f} s: {text}")
 
 
-def _give_up(state: Run) -> None:
+def _fail_at_deadline(state: RunState) -> None:
     request = state.request
     ran = "unknown" if request.sent else "no"
     request.answer.fail(
@@ -347,6 +353,6 @@
             "deadline cannot be met",
             f"deadline passed; {request.attempts} attempts were made",
             ran,
-            placing.RETRY_AFTER_S,
+            placement.RETRY_AFTER_S,
         )
     )
--- a/src/_arbutuswalk/entry/http.py
+++ b/src/_arbutuswalk/entry/http.py
@@ -8,13 +8,13 @@
 
 from starlette import responses
 
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 BODY_TIMEOUT_S = 30.0
-PROBLEM_TYPE = "application/problem+json"
+PROBLEM_CONTENT_TYPE = "application/problem+json"
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
@@ -60,7 +60,7 @@
     return responses.Response(
         problem_json(problem),
         status_code=problem.status,
-        media_type=PROBLEM_TYPE,
+        media_type=PROBLEM_CONTENT_TYPE,
         headers=headers,
     )
 
@@ -79,8 +79,8 @@
     return json.dumps(document).encode()
 
 
-def workspace_of(
-    entry: core.Entry, headers: dict[str, str]
+def authenticate(
+    entry: entry_state.Entry, headers: dict[str, str]
 ) -> inventories.Workspace | answer.Problem:
     """Returns the workspace that the bearer token names."""
     scheme, _, token = headers.get("authorization", "").partition(" ")
@@ -95,12 +95,12 @@
     return answer.Problem(401, "unknown token", detail, "no")
 
 
-def not_admitting(entry: core.Entry) -> answer.Problem | None:
+def lease_problem(entry: entry_state.Entry) -> answer.Problem | None:
     """Returns the refusal of an entry that may not take new work."""
-    if entry.admits:
+    if entry.accepts_work:
         return None
-    others = [row["address"] for row in entry.peers.values()]
+    peer_addresses = [row["address"] for row in entry.peers.values()]
     detail = "this entry is cut off from control; use another"
-    if others:
-        detail += ": " + ", ".join(sorted(others))
+    if peer_addresses:
+        detail += ": " + ", ".join(sorted(peer_addresses))
     return answer.Problem(503, "entry cut off", detail, "no", 1)
--- a/src/_arbutuswalk/entry/links.py
+++ b/src/_arbutuswalk/entry/link_handler.py
@@ -5,57 +5,59 @@
 
 from _arbutuswalk.entry import announcing
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import copies
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import request_copies
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 RELAY_TIMEOUT_S = 1.5
 
-_REPLIES = {
+_REPLY_TYPES = {
     ttypes.Submit: ttypes.SubmitReply,
     ttypes.Sync: ttypes.SyncReply,
     ttypes.Read: ttypes.ReadReply,
 }
 
 
-def handler(entry: core.Entry):
+def make_handler(entry: entry_state.Entry):
     """Returns the handler for an entry's link server."""
 
     async def handle(message: object) -> object | None:
         if isinstance(message, ttypes.UpstreamNews):
-            announcing.on_news(entry, message)
+            announcing.on_peer_updates(entry, message)
             return None
         if isinstance(message, ttypes.CopyProgress):
-            copies.on_copy_progress(entry, message)
+            request_copies.on_copy_progress(entry, message)
             return None
         if isinstance(message, ttypes.CopyRequest):
-            return copies.on_copy_request(entry, message)
+            return request_copies.on_copy_request(entry, message)
         if isinstance(message, ttypes.TakeRequest):
-            return copies.on_take(entry, message)
+            return request_copies.on_take_request(entry, message)
         if isinstance(message, ttypes.Dump):
-            return ttypes.DumpReply(state=json.dumps(dump(entry)).encode())
+            return ttypes.DumpReply(
+                state=json.dumps(dump_state(entry)).encode()
+            )
         if isinstance(message, ttypes.Read) and message.query == "explain":
             return _explain(entry, message.argument or "")
-        if type(message) in _REPLIES:
+        if type(message) in _REPLY_TYPES:
             return await _relay(entry, message)
         return None
 
     return handle
 
 
-async def _relay(entry: core.Entry, message: object) -> object:
+async def _relay(entry: entry_state.Entry, message: object) -> object:
     """Passes a message of a cut-off entry on to the control group."""
     reply = await entry.control.call(
         message, timeout_s=RELAY_TIMEOUT_S, relayed=True
     )
     if isinstance(reply, control_client.Unreachable):
-        return _REPLIES[type(message)](
+        return _REPLY_TYPES[type(message)](
             status=ttypes.Status.UNAVAILABLE, reason=reply.reason
         )
     return reply
 
 
-def _explain(entry: core.Entry, request_id: str) -> ttypes.ReadReply:
+def _explain(entry: entry_state.Entry, request_id: str) -> ttypes.ReadReply:
     request = entry.requests.get(request_id)
     if request is None:
         return ttypes.ReadReply(
@@ -68,7 +70,7 @@
     )
 
 
-def dump(entry: core.Entry) -> dict[str, Any]:
+def dump_state(entry: entry_state.Entry) -> dict[str, Any]:
     """Returns the process's state as JSON values."""
     now = entry.now()
     return {
@@ -77,7 +79,7 @@
         "incarnation": entry.incarnation,
         "revision": entry.revision,
         "view_version": entry.view_version,
-        "lease_left_s": max(0.0, entry.lease_until - now),
+        "lease_left_s": max(0.0, entry.lease_expires_at - now),
         "draining": entry.draining,
         "upstreams": {
             identity: {
--- a/src/_arbutuswalk/entry/main.py
+++ b/src/_arbutuswalk/entry/main.py
@@ -13,19 +13,19 @@
 from _arbutuswalk.base import process
 from _arbutuswalk.base import settings
 from _arbutuswalk.entry import app
-from _arbutuswalk.entry import core
-from _arbutuswalk.entry import links
-from _arbutuswalk.entry import syncing
-from _arbutuswalk.entry import upkeep
+from _arbutuswalk.entry import control_sync
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import link_handler
+from _arbutuswalk.entry import maintenance
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import entries
 from _arbutuswalk.wire import link
 
-POOL_IDLE_S = 4.0
+UPSTREAM_IDLE_TIMEOUT_S = 4.0
 """How long an idle pooled connection to an upstream is kept."""
-CALLER_IDLE_S = 75
-DRAIN_COMMAND_S = 3.0
-BACKLOG = 2048
+CALLER_IDLE_TIMEOUT_S = 75
+STATE_COMMAND_TIMEOUT_S = 3.0
+LISTEN_BACKLOG = 2048
 
 FIELDS = (
     settings.Field("id", "a name", settings.is_text),
@@ -68,11 +68,11 @@
         yield
 
 
-async def run(values: dict[str, Any]) -> int:
+async def run(setting_values: dict[str, Any]) -> int:
     """Runs the process until drained; returns its exit code."""
-    async with _session(values) as session:
-        entry = core.Entry(
-            values=values,
+    async with _make_session(setting_values) as session:
+        entry = entry_state.Entry(
+            settings=setting_values,
             incarnation=int(clock.wall() * clock.MS_PER_S),
             session=session,
         )
@@ -82,66 +82,76 @@
             entry.pool.close()
 
 
-def _session(values: dict[str, Any]) -> aiohttp.ClientSession:
+def _make_session(setting_values: dict[str, Any]) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
-        connector=aiohttp.TCPConnector(limit=0, keepalive_timeout=POOL_IDLE_S),
+        connector=aiohttp.TCPConnector(
+            limit=0, keepalive_timeout=UPSTREAM_IDLE_TIMEOUT_S
+        ),
         auto_decompress=False,
         read_bufsize=2**16,
         timeout=aiohttp.ClientTimeout(
-            total=None, sock_connect=values["connect_s"]
+            total=None, sock_connect=setting_values["connect_s"]
         ),
     )
 
 
-async def _serve(entry: core.Entry) -> int:
-    values = entry.values
+async def _serve(entry: entry_state.Entry) -> int:
+    setting_values = entry.settings
     link_server = link.LinkServer(
-        address=values["link_address"], handler=links.handler(entry)
+        address=setting_values["link_address"],
+        handler=link_handler.make_handler(entry),
     )
     await link_server.start()
-    host, _, port = values["address"].rpartition(":")
+    host, _, port = setting_values["address"].rpartition(":")
     config = uvicorn.Config(
-        app.make(entry),
+        app.make_app(entry),
         host=host,
         port=int(port),
         log_config=None,
         access_log=False,
         lifespan="off",
-        timeout_keep_alive=CALLER_IDLE_S,
-        backlog=BACKLOG,
+        timeout_keep_alive=CALLER_IDLE_TIMEOUT_S,
+        backlog=LISTEN_BACKLOG,
         server_header=False,
     )
     server = Server(config)
-    draining = asyncio.Event()
-    process.on_signals(drain=draining.set, dump=lambda: links.dump(entry))
+    drain_requested = asyncio.Event()
+    process.on_signals(
+        drain=drain_requested.set, dump=lambda: link_handler.dump_state(entry)
+    )
     events.log(
-        events.Event.PROCESS_STARTED, "entry", entry.name, values["address"]
+        events.Event.PROCESS_STARTED,
+        "entry",
+        entry.name,
+        setting_values["address"],
     )
-    serving = asyncio.ensure_future(server.serve())
-    syncing_task = asyncio.ensure_future(syncing.run(entry))
-    upkeep_task = asyncio.ensure_future(upkeep.run(entry))
-    stopping = asyncio.ensure_future(draining.wait())
+    server_task = asyncio.ensure_future(server.serve())
+    control_sync_task = asyncio.ensure_future(control_sync.run(entry))
+    maintenance_task = asyncio.ensure_future(maintenance.run(entry))
+    drain_task = asyncio.ensure_future(drain_requested.wait())
     await asyncio.wait(
-        (serving, stopping, syncing_task, upkeep_task),
+        (server_task, drain_task, control_sync_task, maintenance_task),
         return_when=asyncio.FIRST_COMPLETED,
     )
-    if not serving.done():
+    if not server_task.done():
         await _drain(entry)
     server.should_exit = True
-    await serving
-    for task in (syncing_task, upkeep_task, stopping):
+    await server_task
+    for task in (control_sync_task, maintenance_task, drain_task):
         task.cancel()
-    await asyncio.gather(syncing_task, upkeep_task, return_exceptions=True)
-    await _leave(entry)
+    await asyncio.gather(
+        control_sync_task, maintenance_task, return_exceptions=True
+    )
+    await _mark_gone(entry)
     await entry.control.stop()
     await link_server.stop()
-    for each in entry.news_links.values():
-        await each.stop()
+    for peer_link in entry.peer_links.values():
+        await peer_link.stop()
     events.log(events.Event.PROCESS_STOPPED, "entry", entry.name)
     return process.EXIT_OK
 
 
-async def _drain(entry: core.Entry) -> None:
+async def _drain(entry: entry_state.Entry) -> None:
     """Leaves the list at once, then serves out what it has.
 
     Callers keep the list for its time to live, so new requests are taken
@@ -151,35 +161,37 @@
     events.log(events.Event.PROCESS_DRAINING, "entry", entry.name)
     await _set_state(entry, entries.DRAINING)
     started = entry.now()
-    await asyncio.sleep(entry.values["drain_s"])
-    while entry.now() - started < entry.values["drain_limit_s"]:
+    await asyncio.sleep(entry.settings["drain_s"])
+    while entry.now() - started < entry.settings["drain_limit_s"]:
         if not _is_busy(entry):
             return
-        await asyncio.sleep(upkeep.TICK_S)
+        await asyncio.sleep(maintenance.TICK_INTERVAL_S)
 
 
-def _is_busy(entry: core.Entry) -> bool:
+def _is_busy(entry: entry_state.Entry) -> bool:
     running = any(
         not request.answer.ended or request.answer.readers
         for request in entry.requests.values()
     )
-    return running or bool(entry.calls) or bool(entry.tasks)
+    return running or bool(entry.running_calls) or bool(entry.tasks)
 
 
-async def _leave(entry: core.Entry) -> None:
+async def _mark_gone(entry: entry_state.Entry) -> None:
     if entry.registered:
         await _set_state(entry, entries.GONE)
 
 
-async def _set_state(entry: core.Entry, state: str) -> None:
+async def _set_state(entry: entry_state.Entry, state: str) -> None:
     await entry.control.submit(
         commands.SetEntryState(entry.name, entry.incarnation, state),
-        timeout_s=DRAIN_COMMAND_S,
+        timeout_s=STATE_COMMAND_TIMEOUT_S,
     )
 
 
 def main() -> None:
     """Runs the binary."""
-    values = process.load_settings("arbutuswalk-entry", FIELDS, sys.argv[1:])
-    process.start_logging(values["log_level"])
-    sys.exit(asyncio.run(run(values)))
+    setting_values = process.load_settings(
+        "arbutuswalk-entry", FIELDS, sys.argv[1:]
+    )
+    process.start_logging(setting_values["log_level"])
+    sys.exit(asyncio.run(run(setting_values)))
--- /dev/null
+++ b/src/_arbutuswalk/entry/maintenance.py
@@ -0,0 +1,83 @@
+"""Systems that run over an entry's tables each tick."""
+
+import asyncio
+
+from _arbutuswalk.base import events
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import models
+from _arbutuswalk.entry import placement
+from _arbutuswalk.entry import request_copies
+from _arbutuswalk.entry import suspicion
+from _arbutuswalk.routing import upstreams
+
+TICK_INTERVAL_S = 0.1
+ANSWER_RETENTION_S = 60.0
+MAX_DEATH_REPORTS = 1000
+
+
+async def run(entry: entry_state.Entry) -> None:
+    """Runs every system each tick until cancelled."""
+    had_lease = False
+    while True:
+        await asyncio.sleep(TICK_INTERVAL_S)
+        _expire_upstreams(entry)
+        _cancel_unread_requests(entry)
+        _expire_answers(entry)
+        _take_over_orphaned_copies(entry)
+        request_copies.expire(entry)
+        suspicion.expire_peer_suspects(entry)
+        entry.pool.tick()
+        for name in list(entry.queues):
+            placement.place_queued(entry, name)
+        if had_lease and not entry.accepts_work:
+            events.warn(events.Event.LEASE_LOST, entry.revision)
+        had_lease = entry.accepts_work
+
+
+def _expire_upstreams(entry: entry_state.Entry) -> None:
+    for gone in upstreams.expire(entry.upstreams, entry.now()):
+        events.log(events.Event.UPSTREAM_GONE, gone.row.said["id"], gone.reason)
+    while len(entry.death_reports) > MAX_DEATH_REPORTS:
+        entry.death_reports.pop(next(iter(entry.death_reports)))
+
+
+def _cancel_unread_requests(entry: entry_state.Entry) -> None:
+    """Cancels requests whose callers went away and did not come back."""
+    unread_before = entry.now() - entry.settings["resume_grace_s"]
+    for request in entry.requests.values():
+        unread_since = request.unread_since
+        if (
+            unread_since is None
+            or unread_since > unread_before
+            or request.answer.ended
+        ):
+            continue
+        if request.task is not None and not request.task.done():
+            entry.metrics.count("cancelled_for_vanished_callers")
+            request.task.cancel()
+
+
+def _expire_answers(entry: entry_state.Entry) -> None:
+    """Forgets ended requests that can no longer be resumed."""
+    unread_before = entry.now() - ANSWER_RETENTION_S
+    for request_id, request in list(entry.requests.items()):
+        unread_since = request.unread_since
+        if (
+            not request.answer.ended
+            or unread_since is None
+            or unread_since > unread_before
+        ):
+            continue
+        del entry.requests[request_id]
+        key = (request.workspace, request.key)
+        if entry.request_ids_by_key.get(key) == request_id:
+            del entry.request_ids_by_key[key]
+
+
+def _take_over_orphaned_copies(entry: entry_state.Entry) -> None:
+    """Finishes the requests of entries that are gone."""
+    if not entry.accepts_work:
+        return
+    for request_id in request_copies.orphaned_request_ids(entry):
+        request = request_copies.take_over(entry, request_id)
+        request.unread_since = entry.now() + models.TAKEN_OVER_GRACE_S
--- a/src/_arbutuswalk/entry/models.py
+++ b/src/_arbutuswalk/entry/models.py
@@ -4,21 +4,21 @@
 from typing import Any
 
 from _arbutuswalk.base import events
-from _arbutuswalk.entry import copies
-from _arbutuswalk.entry import core
 from _arbutuswalk.entry import delivery
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import execution
 from _arbutuswalk.entry import http
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import placement
+from _arbutuswalk.entry import request_copies
 from _arbutuswalk.entry import requests
-from _arbutuswalk.entry import running
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.limits import fair
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import framing
 
-MAX_REQUESTS = 20_000
-ADOPTED_GRACE_S = 55.0
+MAX_TRACKED_REQUESTS = 20_000
+TAKEN_OVER_GRACE_S = 55.0
 """How much longer than other orphans an adopted request is kept running."""
 
 
@@ -30,7 +30,7 @@
         route: ``chat`` or ``completions``.
     """
 
-    def __init__(self, *, entry: core.Entry, route: str):
+    def __init__(self, *, entry: entry_state.Entry, route: str):
         self.entry = entry
         self.route = route
 
@@ -41,15 +41,20 @@
         headers = http.headers_of(scope)
         raw = await http.read_body(receive)
         if isinstance(raw, answer.Problem):
-            await refuse(self.entry, raw, scope, receive, send)
+            await send_refusal(self.entry, raw, scope, receive, send)
             return
-        found = await self._admit(headers, raw)
-        if isinstance(found, answer.Problem):
-            await refuse(self.entry, found, scope, receive, send)
+        admitted = await self._admit(headers, raw)
+        if isinstance(admitted, answer.Problem):
+            await send_refusal(self.entry, admitted, scope, receive, send)
             return
-        request, start, reset = found
+        request, first_event, reset = admitted
         await delivery.deliver(
-            self.entry, request, receive, send, start=start, reset=reset
+            self.entry,
+            request,
+            receive,
+            send,
+            first_event=first_event,
+            reset=reset,
         )
 
     async def _admit(
@@ -57,60 +62,64 @@
     ) -> tuple[requests.ModelRequest, int, bool] | answer.Problem:
         """Returns the request to deliver and from which event on."""
         entry = self.entry
-        workspace = http.workspace_of(entry, headers)
+        workspace = http.authenticate(entry, headers)
         if isinstance(workspace, answer.Problem):
-            return http.not_admitting(entry) or workspace
-        terms = requests.parse_terms(headers)
-        if isinstance(terms, answer.Problem):
-            return terms
+            return http.lease_problem(entry) or workspace
+        options = requests.parse_options(headers)
+        if isinstance(options, answer.Problem):
+            return options
         body = requests.parse_body(raw, self.route)
         if isinstance(body, answer.Problem):
             return body
-        resumed = await self._resume(headers, raw, workspace, terms)
+        resumed = await self._find_resumable(headers, raw, workspace, options)
         if resumed is not None:
             return resumed
         problem = self._check_new(workspace, body, raw)
         if problem is not None:
             return problem
-        request = self._make(workspace, terms, body, raw)
-        problem = placing.early_refusal(entry, request)
+        request = self._make_request(workspace, options, body, raw)
+        problem = placement.early_refusal(entry, request)
         if problem is not None:
             return problem
         start(entry, request)
         reset = "last-event-id" in headers
         return request, 0, reset
 
-    async def _resume(
+    async def _find_resumable(
         self,
         headers: dict[str, str],
         raw: bytes,
         workspace: inventories.Workspace,
-        terms: requests.Terms,
+        options: requests.RequestOptions,
     ) -> tuple[requests.ModelRequest, int, bool] | answer.Problem | None:
         """Finds the request that a resend or a resumption speaks of."""
         entry = self.entry
-        last = None
+        last_event = None
         if "last-event-id" in headers:
-            last = framing.parse_event_id(headers["last-event-id"])
-            if last is None:
+            last_event = framing.parse_event_id(headers["last-event-id"])
+            if last_event is None:
                 detail = "Last-Event-ID: give an id that an event carried"
-                return requests.bad("bad header", detail)
-        known = find(entry, workspace["name"], terms.key, last)
-        if known is None and last is not None:
-            known = await copies.adopt(entry, last[0], workspace["name"])
-        if known is None:
+                return requests.refusal("bad header", detail)
+        existing = find_request(
+            entry, workspace["name"], options.key, last_event
+        )
+        if existing is None and last_event is not None:
+            existing = await request_copies.fetch_and_take_over(
+                entry, last_event[0], workspace["name"]
+            )
+        if existing is None:
             return None
-        if known.digest != inventories.digest(raw):
+        if existing.digest != inventories.digest(raw):
             detail = "the key or id belongs to another body"
-            return requests.bad("key reused", detail, 409)
-        if last is None or last[0] != known.request_id:
-            return known, 0, last is not None
-        position = last[1] + 1
-        if position > len(known.answer.events):
+            return requests.refusal("key reused", detail, 409)
+        if last_event is None or last_event[0] != existing.request_id:
+            return existing, 0, last_event is not None
+        position = last_event[1] + 1
+        if position > len(existing.answer.events):
             # More was delivered than this entry has: the generation the
             # caller saw is lost, and two must never be spliced.
-            return known, 0, True
-        return known, position, False
+            return existing, 0, True
+        return existing, position, False
 
     def _check_new(
         self,
@@ -119,7 +128,7 @@
         raw: bytes,
     ) -> answer.Problem | None:
         entry = self.entry
-        problem = http.not_admitting(entry)
+        problem = http.lease_problem(entry)
         if problem is not None:
             return problem
         upstream = inventories.find_upstream(entry.inventory, body["model"])
@@ -130,8 +139,8 @@
                 if item["kind"] == "model"
             )
             detail = f"model: {body['model']!r} is unknown; known: {names}"
-            return requests.bad("unknown model", detail, 404)
-        if len(entry.requests) >= MAX_REQUESTS:
+            return requests.refusal("unknown model", detail, 404)
+        if len(entry.requests) >= MAX_TRACKED_REQUESTS:
             detail = "too many requests are in flight here"
             return answer.Problem(503, "entry full", detail, "no", 1)
         digest = inventories.digest(raw)
@@ -149,10 +158,10 @@
             )
         return None
 
-    def _make(
+    def _make_request(
         self,
         workspace: inventories.Workspace,
-        terms: requests.Terms,
+        options: requests.RequestOptions,
         body: dict[str, Any],
         raw: bytes,
     ) -> requests.ModelRequest:
@@ -161,37 +170,43 @@
             request_id=requests.new_request_id(self.entry.name),
             workspace=workspace["name"],
             weight=workspace["weight"],
-            key=terms.key,
+            key=options.key,
             route=self.route,
             raw=raw,
             body=body,
-            deadline=now + terms.deadline_s,
-            priority=terms.priority,
+            deadline=now + options.deadline_s,
+            priority=options.priority,
             now=now,
         )
 
 
-def start(entry: core.Entry, request: requests.ModelRequest) -> None:
+def start(entry: entry_state.Entry, request: requests.ModelRequest) -> None:
     """Makes a request known and starts to run it."""
     entry.requests[request.request_id] = request
     if request.key:
-        entry.by_key[request.workspace, request.key] = request.request_id
+        entry.request_ids_by_key[request.workspace, request.key] = (
+            request.request_id
+        )
     entry.metrics.count("accepted", f'upstream="{request.upstream}"')
-    copies.send_request(entry, request)
+    request_copies.start_copying(entry, request)
     start_task(entry, request)
 
 
-def start_task(entry: core.Entry, request: requests.ModelRequest) -> None:
+def start_task(
+    entry: entry_state.Entry, request: requests.ModelRequest
+) -> None:
     """Runs a request in a task of its own."""
-    ticket = placing.enqueue(entry, request)
-    request.task = asyncio.ensure_future(_run(entry, request, ticket))
+    ticket = placement.enqueue(entry, request)
+    request.task = asyncio.ensure_future(_run_request(entry, request, ticket))
 
 
-async def _run(
-    entry: core.Entry, request: requests.ModelRequest, ticket: fair.Ticket
+async def _run_request(
+    entry: entry_state.Entry,
+    request: requests.ModelRequest,
+    ticket: fair.Ticket,
 ) -> None:
     try:
-        await running.run(entry, request, ticket)
+        await execution.run(entry, request, ticket)
     except Exception as error:  # noqa: BLE001
         # A fault of ours must not leave the caller without an answer.
         events.warn(events.Event.TASK_FAILED, request.request_id, repr(error))
@@ -206,35 +221,41 @@
                     1,
                 )
             )
-        copies.send_end(entry, request)
-        total = entry.now() - request.accepted_at
-        entry.metrics.record("total", f'upstream="{request.upstream}"', total)
+        request_copies.send_final_events(entry, request)
+        duration_s = entry.now() - request.accepted_at
+        entry.metrics.record(
+            "total", f'upstream="{request.upstream}"', duration_s
+        )
         outcome = "whole" if request.answer.done else "failed"
         entry.metrics.count("answers", f'outcome="{outcome}"')
 
 
-def find(
-    entry: core.Entry,
+def find_request(
+    entry: entry_state.Entry,
     workspace: str,
     key: str,
-    last: tuple[str, int] | None = None,
+    last_event: tuple[str, int] | None = None,
 ) -> requests.ModelRequest | None:
     """Returns a known request by event id or key, of this workspace only.
 
     A request that failed without an answer is forgotten here, so that a
     resend of it is run.
     """
-    request_id = last[0] if last else entry.by_key.get((workspace, key), "")
+    request_id = (
+        last_event[0]
+        if last_event
+        else entry.request_ids_by_key.get((workspace, key), "")
+    )
     request = entry.requests.get(request_id)
     if request is None or request.workspace != workspace:
         return None
-    if request.answer.problem is not None and last is None:
+    if request.answer.problem is not None and last_event is None:
         return None
     return request
 
 
-async def refuse(
-    entry: core.Entry,
+async def send_refusal(
+    entry: entry_state.Entry,
     problem: answer.Problem,
     scope: dict[str, Any],
     receive: http.Receive,
--- a/src/_arbutuswalk/entry/placing.py
+++ b/src/_arbutuswalk/entry/placement.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import NamedTuple
 
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import requests
 from _arbutuswalk.limits import fair
 from _arbutuswalk.routing import choose
@@ -15,7 +15,7 @@
 RETRY_AFTER_S = 1
 
 
-class Waiting(NamedTuple):
+class QueuedRequest(NamedTuple):
     """A request in a queue.
 
     Attributes:
@@ -30,21 +30,21 @@
 
 
 def candidates(
-    entry: core.Entry, name: str, route: str, request_id: str
+    entry: entry_state.Entry, name: str, route: str, request_id: str
 ) -> list[upstreams.Row]:
     """Returns the upstreams that may run a request, by its version."""
     rows = upstreams.usable(entry.upstreams, name, entry.now())
-    wanted, fallback = versions.pick(entry.moves, name, route, request_id)
-    cut = evidence.Side(name, wanted, route) in entry.evidence.cut
-    if not cut:
-        chosen = [row for row in rows if row.said["version"] == wanted]
+    assigned, fallback = versions.pick(entry.moves, name, route, request_id)
+    cut_off = evidence.Side(name, assigned, route) in entry.evidence.cut
+    if not cut_off:
+        chosen = [row for row in rows if row.said["version"] == assigned]
         if chosen or not fallback:
             return chosen
     return [row for row in rows if row.said["version"] == fallback]
 
 
 def early_refusal(
-    entry: core.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: requests.ModelRequest
 ) -> answer.Problem | None:
     """Refuses a new request whose deadline cannot be met.
 
@@ -68,13 +68,13 @@
             RETRY_AFTER_S,
         )
     slots = sum(row.said["slots"] for row in rows)
-    queue = entry.queue_of(request.upstream)
-    ticket = _ticket(request, None)
-    ahead = queue.cost_ahead(ticket, _total_weight(entry))
-    speed = max(1, slots) * entry.speed_of(request.upstream)
-    wait_s = ahead / speed
+    queue = entry.queue_for(request.upstream)
+    ticket = _make_ticket(request, None)
+    cost_ahead = queue.cost_ahead(ticket, _total_weight(entry))
+    tokens_per_s = max(1, slots) * entry.slot_speed(request.upstream)
+    wait_s = cost_ahead / tokens_per_s
     left_s = request.deadline - entry.now()
-    if ahead and wait_s + request.max_tokens / speed > left_s:
+    if cost_ahead and wait_s + request.max_tokens / tokens_per_s > left_s:
         return answer.Problem(
             429,
             "deadline cannot be met",
@@ -86,7 +86,7 @@
 
 
 def enqueue(
-    entry: core.Entry,
+    entry: entry_state.Entry,
     request: requests.ModelRequest,
     *,
     avoid: frozenset[str] = frozenset(),
@@ -97,14 +97,16 @@
     at the same moment see it before them.
     """
     future = asyncio.get_running_loop().create_future()
-    ticket = _ticket(request, Waiting(request, avoid, future))
-    entry.queue_of(request.upstream).push(ticket)
-    pump(entry, request.upstream)
+    ticket = _make_ticket(request, QueuedRequest(request, avoid, future))
+    entry.queue_for(request.upstream).push(ticket)
+    place_queued(entry, request.upstream)
     return ticket
 
 
-async def place(
-    entry: core.Entry, request: requests.ModelRequest, ticket: fair.Ticket
+async def wait_for_placement(
+    entry: entry_state.Entry,
+    request: requests.ModelRequest,
+    ticket: fair.Ticket,
 ) -> upstreams.Row | None:
     """Waits for an upstream; None when the deadline passes first."""
     future = ticket.payload.future
@@ -114,38 +116,38 @@
     except TimeoutError:
         return None
     except asyncio.CancelledError:
-        forget(entry, ticket)
+        leave_queue(entry, ticket)
         raise
     finally:
         ticket.cancelled = True
 
 
-def forget(entry: core.Entry, ticket: fair.Ticket) -> None:
+def leave_queue(entry: entry_state.Entry, ticket: fair.Ticket) -> None:
     """Takes a request out of its queue, or gives its place back."""
     ticket.cancelled = True
-    waiting = ticket.payload
-    if waiting.future.done() and not waiting.future.cancelled():
-        release(entry, waiting.future.result(), waiting.request)
+    queued = ticket.payload
+    if queued.future.done() and not queued.future.cancelled():
+        release(entry, queued.future.result(), queued.request)
 
 
-def pump(entry: core.Entry, name: str) -> None:
+def place_queued(entry: entry_state.Entry, name: str) -> None:
     """Places whatever waits for an upstream name, in fair order."""
-    entry.queue_of(name).serve(lambda ticket: _place_one(entry, ticket))
+    entry.queue_for(name).serve(lambda ticket: _try_to_place(entry, ticket))
 
 
-def _place_one(entry: core.Entry, ticket: fair.Ticket) -> bool:
-    waiting = ticket.payload
-    request = waiting.request
-    if waiting.future.done():
+def _try_to_place(entry: entry_state.Entry, ticket: fair.Ticket) -> bool:
+    queued = ticket.payload
+    request = queued.request
+    if queued.future.done():
         return True
     rows = candidates(
         entry, request.upstream, request.route, request.request_id
     )
-    row = choose.choose(rows, request.features, avoid=waiting.avoid)
+    row = choose.choose(rows, request.features, avoid=queued.avoid)
     if row is None:
         return False
     reserve(row, request)
-    waiting.future.set_result(row)
+    queued.future.set_result(row)
     return True
 
 
@@ -157,26 +159,26 @@
 
 
 def release(
-    entry: core.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> None:
     """Ends a reservation and places what waited for it."""
     row.ended += 1
     row.active.pop(request.request_id, None)
-    pump(entry, row.name)
+    place_queued(entry, row.name)
 
 
-def _ticket(
-    request: requests.ModelRequest, waiting: Waiting | None
+def _make_ticket(
+    request: requests.ModelRequest, queued: QueuedRequest | None
 ) -> fair.Ticket:
     return fair.Ticket(
         workspace=request.workspace,
         weight=request.weight,
         cost=request.cost,
         deadline=request.deadline,
-        payload=waiting,
+        payload=queued,
     )
 
 
-def _total_weight(entry: core.Entry) -> float:
+def _total_weight(entry: entry_state.Entry) -> float:
     workspaces = entry.inventory["workspaces"] if entry.inventory else []
     return sum(workspace["weight"] for workspace in workspaces) or 1.0
--- a/src/_arbutuswalk/entry/copies.py
+++ b/src/_arbutuswalk/entry/request_copies.py
@@ -13,18 +13,18 @@
 from typing import NamedTuple
 
 from _arbutuswalk.base import events as log_events
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import requests
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-BATCH_S = 0.1
-FETCH_TIMEOUT_S = 1.0
-KEPT_S = 120.0
+EVENT_BATCH_INTERVAL_S = 0.1
+PEER_CALL_TIMEOUT_S = 1.0
+COPY_RETENTION_S = 120.0
 MAX_COPIES = 20_000
 
 
-class Copy(NamedTuple):
+class RequestCopy(NamedTuple):
     """A request held for another entry.
 
     Attributes:
@@ -41,105 +41,117 @@
     request: dict[str, Any]
     events: list[bytes]
     finished: bool
-    at: float
+    updated_at: float
 
 
-def peer_of(entry: core.Entry, owner: str, request_id: str) -> str | None:
+def copy_holder_of(
+    entry: entry_state.Entry, owner: str, request_id: str
+) -> str | None:
     """Returns the entry that holds the copy of an owner's request.
 
     All entries that see the same list agree on it: rendezvous hashing over
     the serving entries outside the owner's failure domain.
     """
     entries = entry.view.get("entries", {})
-    home = entries.get(owner, {}).get("domain", "")
+    owner_domain = entries.get(owner, {}).get("domain", "")
     serving = {
         name: row
         for name, row in entries.items()
         if name != owner and row["state"] == "serving"
     }
-    apart = [n for n, row in serving.items() if row["domain"] != home]
-    names = apart or list(serving)
+    other_domains = [
+        n for n, row in serving.items() if row["domain"] != owner_domain
+    ]
+    names = other_domains or list(serving)
     if not names:
         return None
 
-    def weight(name: str) -> bytes:
+    def rank(name: str) -> bytes:
         return hashlib.blake2b(f"{request_id}|{name}".encode()).digest()
 
-    return max(names, key=weight)
+    return max(names, key=rank)
 
 
-def send_request(entry: core.Entry, request: requests.ModelRequest) -> None:
+def start_copying(
+    entry: entry_state.Entry, request: requests.ModelRequest
+) -> None:
     """Sends a copy of an accepted request and then of its events."""
-    peer = peer_of(entry, entry.name, request.request_id)
-    if peer is None:
+    holder = copy_holder_of(entry, entry.name, request.request_id)
+    if holder is None:
         entry.metrics.count("requests_not_copied")
         return
-    address = entry.view["entries"][peer]["link_address"]
-    entry.hold(asyncio.ensure_future(_copy(entry, request, address)))
+    address = entry.view["entries"][holder]["link_address"]
+    entry.track_task(
+        asyncio.ensure_future(_copy_request_and_events(entry, request, address))
+    )
 
 
-async def _copy(
-    entry: core.Entry, request: requests.ModelRequest, address: str
+async def _copy_request_and_events(
+    entry: entry_state.Entry, request: requests.ModelRequest, address: str
 ) -> None:
-    target = entry.link_to(address)
+    holder_link = entry.link_to(address)
     message = ttypes.CopyRequest(
         request_id=request.request_id,
         owner=entry.name,
         owner_incarnation=entry.incarnation,
-        request=json.dumps(_to_json(entry, request)).encode(),
+        request=json.dumps(_request_to_json(entry, request)).encode(),
     )
-    reply = await target.call(message, timeout_s=FETCH_TIMEOUT_S)
+    reply = await holder_link.call(message, timeout_s=PEER_CALL_TIMEOUT_S)
     if not isinstance(reply, ttypes.Done):
         entry.metrics.count("requests_not_copied")
     while not request.answer.ended:
-        await asyncio.sleep(BATCH_S)
-        _send_events(target, request, finished=False)
+        await asyncio.sleep(EVENT_BATCH_INTERVAL_S)
+        _send_events(holder_link, request, finished=False)
 
 
 def _send_events(
-    target: link.Link, request: requests.ModelRequest, *, finished: bool
+    holder_link: link.Link, request: requests.ModelRequest, *, finished: bool
 ) -> None:
-    fresh = request.answer.events[request.copied :]
-    if not fresh and not finished:
+    new_events = request.answer.events[request.copied_events :]
+    if not new_events and not finished:
         return
     message = ttypes.CopyProgress(
         request_id=request.request_id,
-        first_event=request.copied,
-        events=fresh,
+        first_event=request.copied_events,
+        events=new_events,
         finished=finished,
         failed=request.answer.problem is not None,
     )
-    if target.post(message):
-        request.copied += len(fresh)
+    if holder_link.post(message):
+        request.copied_events += len(new_events)
 
 
-def send_end(entry: core.Entry, request: requests.ModelRequest) -> None:
+def send_final_events(
+    entry: entry_state.Entry, request: requests.ModelRequest
+) -> None:
     """Tells the peer that the request has ended, whole or failed."""
-    peer = peer_of(entry, entry.name, request.request_id)
-    if peer is None:
+    holder = copy_holder_of(entry, entry.name, request.request_id)
+    if holder is None:
         return
-    target = entry.link_to(entry.view["entries"][peer]["link_address"])
-    _send_events(target, request, finished=True)
+    holder_link = entry.link_to(entry.view["entries"][holder]["link_address"])
+    _send_events(holder_link, request, finished=True)
 
 
 def on_copy_request(
-    entry: core.Entry, message: ttypes.CopyRequest
+    entry: entry_state.Entry, message: ttypes.CopyRequest
 ) -> ttypes.Done:
     """Holds a copy for another entry."""
     if len(entry.copies) >= MAX_COPIES:
         return ttypes.Done(ok=False)
-    entry.copies[message.request_id] = Copy(
+    entry.copies[message.request_id] = RequestCopy(
         owner=message.owner,
         incarnation=message.owner_incarnation,
         request=json.loads(message.request),
         events=[],
         finished=False,
-        at=entry.now(),
+        updated_at=entry.now(),
     )
     return ttypes.Done(ok=True)
 
 
-def on_copy_progress(entry: core.Entry, message: ttypes.CopyProgress) -> None:
+def on_copy_progress(
+    entry: entry_state.Entry, message: ttypes.CopyProgress
+) -> None:
     """Adds events to a copy, or drops the copy of a failed request."""
     copy = entry.copies.get(message.request_id)
     if copy is None or message.first_event > len(copy.events):
@@ -149,34 +161,36 @@
         return
     events = copy.events[: message.first_event] + list(message.events)
     entry.copies[message.request_id] = copy._replace(
-        events=events, finished=message.finished, at=entry.now()
+        events=events, finished=message.finished, updated_at=entry.now()
     )
 
 
-def expire(entry: core.Entry) -> None:
+def expire(entry: entry_state.Entry) -> None:
     """Forgets copies that nobody can need any more."""
-    oldest = entry.now() - KEPT_S
+    expiry = entry.now() - COPY_RETENTION_S
     for request_id, copy in list(entry.copies.items()):
-        if copy.at < oldest:
+        if copy.updated_at < expiry:
             del entry.copies[request_id]
 
 
-def orphaned(entry: core.Entry) -> list[str]:
+def orphaned_request_ids(entry: entry_state.Entry) -> list[str]:
     """Returns copies that are unfinished and whose owner is gone."""
     entries = entry.view.get("entries")
     if entries is None:
         return []
-    lost = []
+    orphaned_ids = []
     for request_id, copy in entry.copies.items():
         owner = entries.get(copy.owner)
-        alive = owner is not None and owner["incarnation"] == copy.incarnation
-        if not alive and not copy.finished:
-            lost.append(request_id)
-    return lost
+        owner_registered = (
+            owner is not None and owner["incarnation"] == copy.incarnation
+        )
+        if not owner_registered and not copy.finished:
+            orphaned_ids.append(request_id)
+    return orphaned_ids
 
 
-async def adopt(
-    entry: core.Entry, request_id: str, workspace: str
+async def fetch_and_take_over(
+    entry: entry_state.Entry, request_id: str, workspace: str
 ) -> requests.ModelRequest | None:
     """Takes over a request whose events a caller wants, if it can be found.
 
@@ -184,37 +198,39 @@
     is copied here, and a generation that is still to come goes on here.
     """
     if request_id not in entry.copies:
-        await _fetch(entry, request_id)
+        await _fetch_copy(entry, request_id)
     copy = entry.copies.get(request_id)
     if copy is None or copy.request["workspace"] != workspace:
         return None
     return take_over(entry, request_id)
 
 
-async def _fetch(entry: core.Entry, request_id: str) -> None:
+async def _fetch_copy(entry: entry_state.Entry, request_id: str) -> None:
     owner = requests.owner_of(request_id)
     entries = entry.view.get("entries", {})
-    holder = peer_of(entry, owner, request_id)
+    holder = copy_holder_of(entry, owner, request_id)
     for name in (owner, holder):
         if name is None or name == entry.name or name not in entries:
             continue
         reply = await entry.link_to(entries[name]["link_address"]).call(
             ttypes.TakeRequest(request_id=request_id),
-            timeout_s=FETCH_TIMEOUT_S,
+            timeout_s=PEER_CALL_TIMEOUT_S,
         )
         if isinstance(reply, ttypes.TakeReply) and reply.request:
-            entry.copies[request_id] = Copy(
+            entry.copies[request_id] = RequestCopy(
                 owner=owner,
                 incarnation=0,
                 request=json.loads(reply.request),
                 events=list(reply.events),
                 finished=reply.finished,
-                at=entry.now(),
+                updated_at=entry.now(),
             )
             return
 
 
-def on_take(entry: core.Entry, message: ttypes.TakeRequest) -> ttypes.TakeReply:
+def on_take_request(
+    entry: entry_state.Entry, message: ttypes.TakeRequest
+) -> ttypes.TakeReply:
     """Hands a request to the entry where its caller now is.
 
     A request that runs here stops here: it goes on over there, and two
@@ -222,7 +238,7 @@
     """
     request = entry.requests.get(message.request_id)
     if request is not None:
-        body = json.dumps(_to_json(entry, request)).encode()
+        body = json.dumps(_request_to_json(entry, request)).encode()
         events = list(request.answer.events)
         finished = request.answer.done
         if request.task is not None and not request.answer.ended:
@@ -238,17 +254,19 @@
     )
 
 
-def take_over(entry: core.Entry, request_id: str) -> requests.ModelRequest:
+def take_over(
+    entry: entry_state.Entry, request_id: str
+) -> requests.ModelRequest:
     """Makes a copy into a request of this entry, and runs what is left."""
     copy = entry.copies.pop(request_id)
-    request = _from_json(entry, request_id, copy.request)
+    request = _request_from_json(entry, request_id, copy.request)
     request.answer.add(copy.events)
     request.sent = True
     log_events.log(log_events.Event.COPY_ADOPTED, request_id, copy.owner)
     entry.metrics.count("copies_adopted")
     entry.requests[request_id] = request
     if request.key:
-        entry.by_key[request.workspace, request.key] = request_id
+        entry.request_ids_by_key[request.workspace, request.key] = request_id
     if copy.finished:
         request.answer.finish()
     else:
@@ -256,8 +274,8 @@
     return request
 
 
-def _to_json(
-    entry: core.Entry, request: requests.ModelRequest
+def _request_to_json(
+    entry: entry_state.Entry, request: requests.ModelRequest
 ) -> dict[str, Any]:
     return {
         "workspace": request.workspace,
@@ -271,23 +289,23 @@
     }
 
 
-def _from_json(
-    entry: core.Entry, request_id: str, values: dict[str, Any]
+def _request_from_json(
+    entry: entry_state.Entry, request_id: str, fields: dict[str, Any]
 ) -> requests.ModelRequest:
     now = entry.now()
     request = requests.ModelRequest(
         request_id=request_id,
-        workspace=values["workspace"],
-        weight=values["weight"],
-        key=values["key"],
-        route=values["route"],
+        workspace=fields["workspace"],
+        weight=fields["weight"],
+        key=fields["key"],
+        route=fields["route"],
         raw=b"",
-        body=values["body"],
-        deadline=now + max(values["left_s"], requests.DEFAULT_DEADLINE_S),
-        priority=values["priority"],
+        body=fields["body"],
+        deadline=now + max(fields["left_s"], requests.DEFAULT_DEADLINE_S),
+        priority=fields["priority"],
         now=now,
     )
-    request.digest = values["digest"]
+    request.digest = fields["digest"]
     request.fingerprint = requests.fingerprint(
         request.workspace, request.route, request.digest
     )
--- a/src/_arbutuswalk/entry/requests.py
+++ b/src/_arbutuswalk/entry/requests.py
@@ -20,7 +20,7 @@
 MAX_KEY_CHARS = 128
 
 
-class Terms(NamedTuple):
+class RequestOptions(NamedTuple):
     """What the headers ask for.
 
     Attributes:
@@ -96,12 +96,12 @@
         self.answer = answer.Answer(request_id=request_id)
         self.attempts = 0
         self.sent = False
-        self.copied = 0
-        self.isolation = ""
-        self.move = asyncio.Event()
+        self.copied_events = 0
+        self.isolated_upstream = ""
+        self.move_requested = asyncio.Event()
         self.history: list[str] = []
         self.task: asyncio.Task | None = None
-        self.orphaned_at: float | None = None
+        self.unread_since: float | None = None
 
     @property
     def cost(self) -> int:
@@ -144,65 +144,67 @@
     try:
         body = json.loads(raw)
     except (ValueError, RecursionError) as error:
-        return bad("malformed JSON", str(error))
+        return refusal("malformed JSON", str(error))
     if not isinstance(body, dict):
-        return bad("malformed JSON", "the body has to be an object")
+        return refusal("malformed JSON", "the body has to be an object")
     problem = _check_prompt(body, route) or _check_values(body)
     return problem or body
 
 
 def _check_prompt(body: dict[str, Any], route: str) -> answer.Problem | None:
     if not isinstance(body.get("model"), str):
-        return bad("missing model", "model: give the name of a model")
+        return refusal("missing model", "model: give the name of a model")
     if route == "completions":
         if not isinstance(body.get("prompt"), str):
-            return bad("missing prompt", "prompt: give a string")
+            return refusal("missing prompt", "prompt: give a string")
         return None
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
-        return bad("missing messages", "messages: give a non-empty list")
+        return refusal("missing messages", "messages: give a non-empty list")
     for i, message in enumerate(messages):
         if not isinstance(message, dict) or not all(
             isinstance(message.get(field), str) for field in ("role", "content")
         ):
             detail = f"messages[{i}]: give role and content as strings"
-            return bad("bad message", detail)
+            return refusal("bad message", detail)
     return None
 
 
 def _check_values(body: dict[str, Any]) -> answer.Problem | None:
-    limit = body.get("max_tokens", DEFAULT_MAX_TOKENS)
-    whole = isinstance(limit, int) and not isinstance(limit, bool)
-    if not whole or not 1 <= limit <= MAX_TOKENS_LIMIT:
+    max_tokens = body.get("max_tokens", DEFAULT_MAX_TOKENS)
+    is_integer = isinstance(max_tokens, int) and not isinstance(
+        max_tokens, bool
+    )
+    if not is_integer or not 1 <= max_tokens <= MAX_TOKENS_LIMIT:
         detail = f"max_tokens: give 1 to {MAX_TOKENS_LIMIT}"
-        return bad("bad max_tokens", detail)
+        return refusal("bad max_tokens", detail)
     if not isinstance(body.get("stream", False), bool):
-        return bad("bad stream", "stream: give true or false")
+        return refusal("bad stream", "stream: give true or false")
     if "continue_from" in body:
-        return bad("unknown key", "continue_from: not for callers")
+        return refusal("unknown key", "continue_from: not for callers")
     return None
 
 
-def parse_terms(headers: dict[str, str]) -> Terms | answer.Problem:
+def parse_options(headers: dict[str, str]) -> RequestOptions | answer.Problem:
     """Reads deadline, priority and key from lower-case headers."""
     key = headers.get("idempotency-key", "")
     if len(key) > MAX_KEY_CHARS or not key.isprintable():
         detail = f"Idempotency-Key: at most {MAX_KEY_CHARS} printable chars"
-        return bad("bad header", detail)
+        return refusal("bad header", detail)
     deadline_ms = headers.get("x-deadline-ms")
     deadline_s = DEFAULT_DEADLINE_S
     if deadline_ms is not None:
         if not deadline_ms.isascii() or not deadline_ms.isdigit():
-            return bad("bad header", "X-Deadline-Ms: give milliseconds")
+            return refusal("bad header", "X-Deadline-Ms: give milliseconds")
         deadline_s = min(MAX_DEADLINE_S, int(deadline_ms[:12]) / 1000)
         if deadline_s <= 0:
-            return bad("bad header", "X-Deadline-Ms: give more than 0")
+            return refusal("bad header", "X-Deadline-Ms: give more than 0")
     priority = headers.get("x-priority", str(DEFAULT_PRIORITY))
     if len(priority) != 1 or priority not in "0123456789":
-        return bad("bad header", f"X-Priority: give 0 to {MAX_PRIORITY}")
-    return Terms(key, deadline_s, int(priority))
+        return refusal("bad header", f"X-Priority: give 0 to {MAX_PRIORITY}")
+    return RequestOptions(key, deadline_s, int(priority))
 
 
-def bad(title: str, detail: str, status: int = 400) -> answer.Problem:
+def refusal(title: str, detail: str, status: int = 400) -> answer.Problem:
     """Returns a refusal of bad input; it was certainly not run."""
     return answer.Problem(status, title, detail, "no")
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -8,11 +8,11 @@
 from starlette import responses
 
 from _arbutuswalk.entry import calls
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import http
 from _arbutuswalk.entry import models
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import requests
 from _arbutuswalk.routing import choose
 from _arbutuswalk.routing import evidence
@@ -21,10 +21,10 @@
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
 
-PREFIX = "/v1/services/"
+PATH_PREFIX = "/v1/services/"
 MAX_ATTEMPTS = 5
-PAUSE_S = 0.05
-FORWARDED = ("content-type", "accept", "accept-language")
+POLL_INTERVAL_S = 0.05
+FORWARDED_HEADERS = ("content-type", "accept", "accept-language")
 
 
 class ServiceCall(NamedTuple):
@@ -60,7 +60,7 @@
 class ServiceRoute:
     """ASGI endpoint for all plain services."""
 
-    def __init__(self, *, entry: core.Entry):
+    def __init__(self, *, entry: entry_state.Entry):
         self.entry = entry
 
     async def __call__(
@@ -69,15 +69,15 @@
         """Serves one call."""
         body = await http.read_body(receive)
         if isinstance(body, answer.Problem):
-            await models.refuse(self.entry, body, scope, receive, send)
+            await models.send_refusal(self.entry, body, scope, receive, send)
             return
-        call = check(self.entry, scope, body)
+        call = check_call(self.entry, scope, body)
         if isinstance(call, answer.Problem):
-            await models.refuse(self.entry, call, scope, receive, send)
+            await models.send_refusal(self.entry, call, scope, receive, send)
             return
         result = await self._run(call)
         if isinstance(result, answer.Problem):
-            await models.refuse(self.entry, result, scope, receive, send)
+            await models.send_refusal(self.entry, result, scope, receive, send)
             return
         response = responses.Response(
             result.body,
@@ -92,31 +92,31 @@
             return await _run_repeatable(self.entry, call)
         # A call that may have begun runs to its end, whoever still listens.
         task = asyncio.ensure_future(calls.run_once(self.entry, call))
-        self.entry.hold(task)
+        self.entry.track_task(task)
         return await asyncio.shield(task)
 
 
-def check(
-    entry: core.Entry, scope: dict[str, Any], body: bytes
+def check_call(
+    entry: entry_state.Entry, scope: dict[str, Any], body: bytes
 ) -> ServiceCall | answer.Problem:
     """Checks a call against the configuration in force."""
     headers = http.headers_of(scope)
-    problem = http.not_admitting(entry)
+    problem = http.lease_problem(entry)
     if problem is not None:
         return problem
-    workspace = http.workspace_of(entry, headers)
+    workspace = http.authenticate(entry, headers)
     if isinstance(workspace, answer.Problem):
         return workspace
-    terms = requests.parse_terms(headers)
-    if isinstance(terms, answer.Problem):
-        return terms
-    found = _find_route(entry, scope)
-    if isinstance(found, answer.Problem):
-        return found
-    upstream, route, path = found
-    if not route["repeatable"] and not terms.key:
+    options = requests.parse_options(headers)
+    if isinstance(options, answer.Problem):
+        return options
+    match = _find_route(entry, scope)
+    if isinstance(match, answer.Problem):
+        return match
+    upstream, route, path = match
+    if not route["repeatable"] and not options.key:
         detail = "this route may not be repeated: send an Idempotency-Key"
-        return requests.bad("missing key", detail)
+        return requests.refusal("missing key", detail)
     return ServiceCall(
         call_id=requests.new_request_id(entry.name),
         workspace=workspace["name"],
@@ -124,21 +124,21 @@
         route=route,
         method=scope["method"],
         path=path,
-        headers={n: v for n, v in headers.items() if n in FORWARDED},
+        headers={n: v for n, v in headers.items() if n in FORWARDED_HEADERS},
         body=body,
-        key=terms.key,
-        deadline=entry.now() + terms.deadline_s,
-        priority=terms.priority,
+        key=options.key,
+        deadline=entry.now() + options.deadline_s,
+        priority=options.priority,
     )
 
 
 def _find_route(
-    entry: core.Entry, scope: dict[str, Any]
+    entry: entry_state.Entry, scope: dict[str, Any]
 ) -> tuple[inventories.Upstream, inventories.Route, str] | answer.Problem:
-    name, _, rest = scope["path"].removeprefix(PREFIX).partition("/")
+    name, _, rest = scope["path"].removeprefix(PATH_PREFIX).partition("/")
     upstream = inventories.find_upstream(entry.inventory, name)
     if upstream is None or upstream["kind"] != "service":
-        return requests.bad("unknown service", f"{name!r} is unknown", 404)
+        return requests.refusal("unknown service", f"{name!r} is unknown", 404)
     path = f"/{rest}"
     route = inventories.find_route(upstream, scope["method"], path)
     if route is None:
@@ -147,16 +147,16 @@
             for item in upstream["routes"]
         )
         detail = f"{scope['method']} {path} is no route; known: {known}"
-        return requests.bad("unknown route", detail, 404)
+        return requests.refusal("unknown route", detail, 404)
     query = scope.get("query_string", b"").decode("latin-1")
     return upstream, route, f"{path}?{query}" if query else path
 
 
 def choose_upstream(
-    entry: core.Entry, call: ServiceCall, avoid: frozenset[str]
+    entry: entry_state.Entry, call: ServiceCall, avoid: frozenset[str]
 ) -> upstreams.Row | None:
     """Returns the upstream for the next attempt, or None if all are full."""
-    rows = placing.candidates(
+    rows = placement.candidates(
         entry, call.upstream["name"], call.route["name"], call.call_id
     )
     features = choose.Features(0, (), call.call_id)
@@ -164,15 +164,15 @@
 
 
 async def _run_repeatable(
-    entry: core.Entry, call: ServiceCall
+    entry: entry_state.Entry, call: ServiceCall
 ) -> exchange.Reply | answer.Problem:
     """Runs a repeatable call, again elsewhere when it fails."""
-    budget = entry.budget_of(call.upstream["name"])
+    budget = entry.retry_budget_for(call.upstream["name"])
     budget.deposit()
     avoid: set[str] = set()
-    sent = False
+    may_have_run = False
     for attempt in range(MAX_ATTEMPTS):
-        if attempt and not await _take_retry(entry, budget, call.deadline):
+        if attempt and not await _wait_for_budget(entry, budget, call.deadline):
             break
         row = await wait_for_upstream(entry, call, frozenset(avoid))
         if row is None:
@@ -183,27 +183,31 @@
                 return result
             if attempt + 1 == MAX_ATTEMPTS:
                 return result
-        sent = sent or not isinstance(result, exchange.NotOpened)
+        may_have_run = may_have_run or not isinstance(
+            result, exchange.NotOpened
+        )
         avoid.add(row.key)
     return answer.Problem(
-        504 if sent else 503,
+        504 if may_have_run else 503,
         "service unavailable",
         f"no upstream of {call.upstream['name']} answered in time",
-        "unknown" if sent else "no",
-        placing.RETRY_AFTER_S,
+        "unknown" if may_have_run else "no",
+        placement.RETRY_AFTER_S,
     )
 
 
-async def _take_retry(entry: core.Entry, budget, deadline: float) -> bool:
+async def _wait_for_budget(
+    entry: entry_state.Entry, budget, deadline: float
+) -> bool:
     while entry.now() < deadline:
         if budget.withdraw(entry.now()):
             return True
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return False
 
 
 async def wait_for_upstream(
-    entry: core.Entry, call: ServiceCall, avoid: frozenset[str]
+    entry: entry_state.Entry, call: ServiceCall, avoid: frozenset[str]
 ) -> upstreams.Row | None:
     """Waits for an upstream with a free slot; None at the deadline.
 
@@ -218,39 +222,41 @@
             entry.upstreams, call.upstream["name"], entry.now()
         ):
             return None
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return None
 
 
 async def _attempt(
-    entry: core.Entry,
+    entry: entry_state.Entry,
     call: ServiceCall,
     row: upstreams.Row,
 ) -> exchange.Result:
     row.sent += 1
     row.active[call.call_id] = None
     started = entry.now()
-    timeout_s = min(entry.values["service_timeout_s"], call.deadline - started)
+    timeout_s = min(
+        entry.settings["service_timeout_s"], call.deadline - started
+    )
     try:
         result = await exchange.run(
             entry.pool,
-            order_of(call, row),
+            make_order(call, row),
             timeout_s=max(0.01, timeout_s),
             fresh=False,
         )
     finally:
         row.ended += 1
         row.active.pop(call.call_id, None)
-        entry.note_usage(
+        entry.record_usage(
             row.said["instance"], call.workspace, entry.now() - started
         )
     if isinstance(result, exchange.NotOpened):
         row.failed_at = entry.now()
-    note_evidence(entry, call, row, result, entry.now() - started)
+    record_evidence(entry, call, row, result, entry.now() - started)
     return result
 
 
-def order_of(call: ServiceCall, row: upstreams.Row) -> exchange.Order:
+def make_order(call: ServiceCall, row: upstreams.Row) -> exchange.Order:
     """Returns what to send to an upstream."""
     return exchange.Order(
         address=row.said["address"],
@@ -266,8 +272,8 @@
     )
 
 
-def note_evidence(
-    entry: core.Entry,
+def record_evidence(
+    entry: entry_state.Entry,
     call: ServiceCall,
     row: upstreams.Row,
     result: exchange.Result,
@@ -278,15 +284,15 @@
     if leaving or isinstance(result, exchange.NotOpened):
         return
     name, route = call.upstream["name"], call.route["name"]
-    wanted, old = versions.pick(entry.moves, name, route, call.call_id)
+    assigned, previous = versions.pick(entry.moves, name, route, call.call_id)
     version = row.said["version"]
     ok = isinstance(result, exchange.Reply) and result.status < 500
     entry.evidence.note(
         evidence.Side(name, version, route),
         failed=not ok,
         latency_s=latency_s,
-        baseline=evidence.Side(name, old, route) if old else None,
-        on_trial=bool(old) and version == wanted,
+        baseline=evidence.Side(name, previous, route) if previous else None,
+        on_trial=bool(previous) and version == assigned,
     )
     labels = f'upstream="{name}",version="{version}"'
     entry.metrics.record("service", labels, latency_s)
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -5,9 +5,9 @@
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import core
-from _arbutuswalk.entry import news
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import peer_updates
+from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import requests
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
@@ -15,21 +15,21 @@
 from _arbutuswalk.streams import answer
 
 PROBE_TIMEOUT_S = 0.5
-PROBE_PAUSE_S = 0.01
+PROBE_INTERVAL_S = 0.01
 """Pause between probes of an upstream that accepts and does not answer."""
-PROBE = b"HEAD / HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
+PROBE_REQUEST = b"HEAD / HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
 REPORT_TIMEOUT_S = 5.0
-PAUSE_S = 0.05
-ALONE_LIMIT_S = 3.0
-HEARSAY_S = 2.0
+POLL_INTERVAL_S = 0.05
+EXCLUSIVE_TIMEOUT_S = 3.0
+PEER_SUSPECT_TTL_S = 2.0
 """How long another entry's word of a suspect counts: longer than a report
 takes to be committed and to show in every view."""
-MAX_ISOLATED = 0.34
+MAX_ISOLATED_FRACTION = 0.34
 """Part of an upstream name's instances that suspects may hold at a time."""
-_REFUSED, _OPEN, _NO_ANSWER = "refused", "open", "no answer"
+_REFUSED, _ANSWERED, _NO_ANSWER = "refused", "open", "no answer"
 
 
-async def is_dead(entry: core.Entry, row: upstreams.Row) -> bool:
+async def is_dead(entry: entry_state.Entry, row: upstreams.Row) -> bool:
     """Tells whether an upstream's process is gone.
 
     A refused connection proves it, and so does a newer incarnation. Where
@@ -40,19 +40,19 @@
     probe = await _probe(row.said["address"])
     if probe == _REFUSED:
         return True
-    if probe == _OPEN and not row.isolated:
+    if probe == _ANSWERED and not row.isolated:
         return _is_replaced(entry, row)  # by a newer incarnation
-    if probe == _OPEN:
+    if probe == _ANSWERED:
         return await _was_restarted(entry, row, broke_at)
     while entry.now() - row.heard_at < upstreams.SUSPECT_AFTER_S:
         if row.heard_at > broke_at:
             return False
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return row.heard_at <= broke_at
 
 
 async def _was_restarted(
-    entry: core.Entry, row: upstreams.Row, broke_at: float
+    entry: entry_state.Entry, row: upstreams.Row, broke_at: float
 ) -> bool:
     """Waits for the next word of an upstream on which a suspect ran.
 
@@ -63,7 +63,7 @@
             return True
         if row.heard_at > broke_at:
             return False
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return True
 
 
@@ -76,20 +76,20 @@
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(PROBE_TIMEOUT_S):
-            while not await _answers(host, int(port)):
-                await asyncio.sleep(PROBE_PAUSE_S)
+            while not await _sends_any_byte(host, int(port)):
+                await asyncio.sleep(PROBE_INTERVAL_S)
     except ConnectionRefusedError:
         return _REFUSED
     except (TimeoutError, OSError):
         return _NO_ANSWER
-    return _OPEN
+    return _ANSWERED
 
 
-async def _answers(host: str, port: int) -> bool:
+async def _sends_any_byte(host: str, port: int) -> bool:
     """Tells whether a new connection brings a byte before it ends."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
-        writer.write(PROBE)
+        writer.write(PROBE_REQUEST)
         return bool(await reader.read(1))
     except ConnectionResetError:
         return False
@@ -97,46 +97,49 @@
         writer.close()
 
 
-def _is_replaced(entry: core.Entry, row: upstreams.Row) -> bool:
+def _is_replaced(entry: entry_state.Entry, row: upstreams.Row) -> bool:
     return entry.upstreams.rows.get(row.said["id"]) is not row
 
 
-async def report_death(entry: core.Entry, row: upstreams.Row) -> str:
+async def report_death(entry: entry_state.Entry, row: upstreams.Row) -> str:
     """Reports an unannounced death once, for all that ran there.
 
     Returns:
         The fingerprint blamed for it, or an empty string.
     """
-    report = entry.reported.get(row.key)
+    report = entry.death_reports.get(row.key)
     if report is None:
-        report = asyncio.ensure_future(_report(entry, row))
-        entry.reported[row.key] = report
+        report = asyncio.ensure_future(_submit_death_report(entry, row))
+        entry.death_reports[row.key] = report
     return await asyncio.shield(report)
 
 
-async def _report(entry: core.Entry, row: upstreams.Row) -> str:
+async def _submit_death_report(
+    entry: entry_state.Entry, row: upstreams.Row
+) -> str:
     # Attempts that broke off before this report was made count as well: the
     # guilty one need not be the first whose connection was seen to end.
-    running = set(row.broken)
+    fingerprints = set(row.broken)
     for request_id in row.active:
-        other = entry.requests.get(request_id)
-        if other is not None:
-            running.add(other.fingerprint)
-    entry.suspects |= running
-    news.tell_others(
-        entry, {"kind": news.SUSPECTS, "fingerprints": sorted(running)}
+        request = entry.requests.get(request_id)
+        if request is not None:
+            fingerprints.add(request.fingerprint)
+    entry.local_suspects |= fingerprints
+    peer_updates.tell_others(
+        entry,
+        {"kind": peer_updates.SUSPECTS, "fingerprints": sorted(fingerprints)},
     )
     if entry.upstreams.rows.get(row.said["id"]) is row:
         entry.upstreams.remove(row.said["id"])
     events.warn(events.Event.UPSTREAM_GONE, row.said["id"], "died")
     outcome = await entry.control.submit(
         commands.ReportDeath(
-            row.said["id"], row.said["incarnation"], sorted(running)
+            row.said["id"], row.said["incarnation"], sorted(fingerprints)
         ),
         timeout_s=REPORT_TIMEOUT_S,
     )
     if isinstance(outcome, outcomes.Convicted):
-        entry.suspects -= running
+        entry.local_suspects -= fingerprints
         events.warn(
             events.Event.SUSPECT_CONVICTED,
             outcome.fingerprint,
@@ -146,33 +149,35 @@
     return ""
 
 
-def on_suspects(entry: core.Entry, fingerprints: list[str]) -> None:
+def add_peer_suspects(
+    entry: entry_state.Entry, fingerprints: list[str]
+) -> None:
     """Takes suspects of a death that another entry reports just now.
 
     Until the report is committed and shows in the view, a resend that comes
     here would run beside others on a second upstream.
     """
-    until = entry.now() + HEARSAY_S
-    entry.heard_suspects |= dict.fromkeys(fingerprints, until)
+    expires_at = entry.now() + PEER_SUSPECT_TTL_S
+    entry.peer_suspects |= dict.fromkeys(fingerprints, expires_at)
 
 
-def forget_hearsay(entry: core.Entry) -> None:
+def expire_peer_suspects(entry: entry_state.Entry) -> None:
     """Forgets suspects whose word from another entry has run out."""
     now = entry.now()
-    for fingerprint, until in list(entry.heard_suspects.items()):
-        if until <= now:
-            del entry.heard_suspects[fingerprint]
+    for fingerprint, expires_at in list(entry.peer_suspects.items()):
+        if expires_at <= now:
+            del entry.peer_suspects[fingerprint]
 
 
-async def place_alone(
-    entry: core.Entry,
+async def place_isolated(
+    entry: entry_state.Entry,
     request: requests.ModelRequest,
     *,
     avoid: frozenset[str],
 ) -> upstreams.Row | answer.Problem | None:
     """Reserves an upstream for a suspect; None when time runs out."""
     while entry.now() < request.deadline:
-        rows = _free_for_isolation(entry, request)
+        rows = _isolation_candidates(entry, request)
         rows.sort(key=lambda row: (row.key in avoid, row.load))
         if rows:
             row = rows[0]
@@ -180,54 +185,54 @@
             if isinstance(outcome, outcomes.Convicted):
                 return convicted_problem(request, outcome.until_ms)
             if isinstance(outcome, outcomes.Granted):
-                if await _becomes_alone(entry, row, request):
-                    placing.reserve(row, request)
+                if await _wait_until_exclusive(entry, row, request):
+                    placement.reserve(row, request)
                     return row
-                await release(entry, request, cleared=False)
-        await asyncio.sleep(PAUSE_S)
+                await release_isolation(entry, request, cleared=False)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return None
 
 
-def _free_for_isolation(
-    entry: core.Entry, request: requests.ModelRequest
+def _isolation_candidates(
+    entry: entry_state.Entry, request: requests.ModelRequest
 ) -> list[upstreams.Row]:
     """Returns upstreams that may be reserved, a part of all at most."""
-    rows = placing.candidates(
+    rows = placement.candidates(
         entry, request.upstream, request.route, request.request_id
     )
-    named = entry.upstreams.named(request.upstream)
-    taken = sum(bool(row.isolated) for row in named)
-    most = max(1, int(len(named) * MAX_ISOLATED))
-    return rows if taken < most else []
+    instances = entry.upstreams.named(request.upstream)
+    isolated = sum(bool(row.isolated) for row in instances)
+    max_isolated = max(1, int(len(instances) * MAX_ISOLATED_FRACTION))
+    return rows if isolated < max_isolated else []
 
 
-async def _becomes_alone(
-    entry: core.Entry, row: upstreams.Row, request: requests.ModelRequest
+async def _wait_until_exclusive(
+    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> bool:
     """Waits until no entry runs anything else on a reserved upstream.
 
     Only then does a second death there prove anything.
     """
-    deadline = entry.now() + ALONE_LIMIT_S
+    deadline = entry.now() + EXCLUSIVE_TIMEOUT_S
     try:
         while entry.now() < deadline:
-            found = await entry.control.read(
+            reply = await entry.control.read(
                 "alone", row.said["id"], timeout_s=REPORT_TIMEOUT_S
             )
             if _is_replaced(entry, row):
                 return False
             if row.health(entry.now()) is not upstreams.Health.USABLE:
                 return False
-            if isinstance(found, dict) and found["alone"]:
+            if isinstance(reply, dict) and reply["alone"]:
                 return True
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
     except asyncio.CancelledError:
-        release_later(entry, request)
+        release_isolation_in_background(entry, request)
         raise
     return False
 
 
-def occupied(entry: core.Entry) -> list[str]:
+def occupied(entry: entry_state.Entry) -> list[str]:
     """Returns the upstreams on which this entry runs anything.
 
     An attempt that broke off counts until it is known whether its upstream
@@ -240,7 +245,7 @@
     ]
 
 
-def follow_isolations(entry: core.Entry) -> None:
+def follow_isolations(entry: entry_state.Entry) -> None:
     """Clears reserved upstreams of this entry's other requests."""
     isolations = entry.view.get("quarantine", {}).get("isolations", {})
     for identity, row in entry.upstreams.rows.items():
@@ -250,13 +255,13 @@
         for request_id in row.active:
             request = entry.requests.get(request_id)
             if request and request.fingerprint != row.isolated:
-                request.move.set()
+                request.move_requested.set()
 
 
 async def _isolate(
-    entry: core.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> object:
-    request.isolation = row.said["id"]
+    request.isolated_upstream = row.said["id"]
     outcome = await entry.control.submit(
         commands.Isolate(
             request.fingerprint,
@@ -269,40 +274,44 @@
     if isinstance(outcome, outcomes.Granted):
         row.isolated = request.fingerprint
     elif isinstance(outcome, control_client.Unreachable):
-        await release(entry, request, cleared=False)
+        await release_isolation(entry, request, cleared=False)
     else:
-        request.isolation = ""
+        request.isolated_upstream = ""
     if isinstance(outcome, outcomes.Stale) and not _is_replaced(entry, row):
         entry.upstreams.remove(row.said["id"])  # its death is known
     return outcome
 
 
-async def release(
-    entry: core.Entry, request: requests.ModelRequest, *, cleared: bool
+async def release_isolation(
+    entry: entry_state.Entry, request: requests.ModelRequest, *, cleared: bool
 ) -> None:
     """Ends the isolation of a request, if it has one.
 
     After a death the report has ended it already; saying so again is no
     harm, while one that stays would keep the upstream from everybody.
     """
-    identity, request.isolation = request.isolation, ""
+    identity, request.isolated_upstream = request.isolated_upstream, ""
     if not identity:
         return
     row = entry.upstreams.rows.get(identity)
     if row is not None and row.isolated == request.fingerprint:
         row.isolated = ""
     if cleared:
-        entry.suspects.discard(request.fingerprint)
+        entry.local_suspects.discard(request.fingerprint)
     await entry.control.submit(
         commands.Release(request.fingerprint, identity, cleared),
         timeout_s=REPORT_TIMEOUT_S,
     )
 
 
-def release_later(entry: core.Entry, request: requests.ModelRequest) -> None:
+def release_isolation_in_background(
+    entry: entry_state.Entry, request: requests.ModelRequest
+) -> None:
     """Ends the isolation of a request that was cancelled."""
-    task = asyncio.ensure_future(release(entry, request, cleared=False))
-    entry.hold(task)
+    task = asyncio.ensure_future(
+        release_isolation(entry, request, cleared=False)
+    )
+    entry.track_task(task)
 
 
 def convicted_problem(
@@ -318,7 +327,7 @@
     )
 
 
-def seconds_until(entry: core.Entry, until_ms: int) -> int:
+def seconds_until(entry: entry_state.Entry, until_ms: int) -> int:
     """Returns the whole seconds until a conviction ends, at least one."""
     left_ms = until_ms - entry.wall() * clock.MS_PER_S
     return max(1, int(left_ms / clock.MS_PER_S) + 1)
--- a/testing/asgi.py
+++ b/testing/asgi.py
@@ -17,7 +17,9 @@
         return json.loads(self.body)
 
 
-async def call(app, method, path, *, headers=None, body=b"", leave_at=None):
+async def call(
+    app, method, path, *, headers=None, body=b"", disconnect_after=None
+):
     """Sends one request; ``leave_at`` disconnects after so many parts."""
     target, _, query = path.partition("?")
     scope = {
@@ -37,26 +39,26 @@
         "client": ("127.0.0.1", 1),
         "server": ("127.0.0.1", 2),
     }
-    gone = asyncio.Event()
-    parts = [{"type": "http.request", "body": body, "more_body": False}]
+    disconnected = asyncio.Event()
+    incoming = [{"type": "http.request", "body": body, "more_body": False}]
     sent = []
 
     async def receive():
-        if parts:
-            return parts.pop(0)
-        await gone.wait()
+        if incoming:
+            return incoming.pop(0)
+        await disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(message):
         sent.append(message)
-        if leave_at is not None and len(sent) > leave_at:
-            gone.set()
+        if disconnect_after is not None and len(sent) > disconnect_after:
+            disconnected.set()
 
     await app(scope, receive, send)
     start = next(m for m in sent if m["type"] == "http.response.start")
-    found = {
+    response_headers = {
         name.decode().lower(): value.decode()
         for name, value in start.get("headers", [])
     }
-    data = b"".join(m.get("body", b"") for m in sent)
-    return Response(start["status"], found, data)
+    response_body = b"".join(m.get("body", b"") for m in sent)
+    return Response(start["status"], response_headers, response_body)
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -13,10 +13,10 @@
 import worlds
 
 from _arbutuswalk.entry import app
+from _arbutuswalk.entry import control_sync
 from _arbutuswalk.entry import http
-from _arbutuswalk.entry import links
-from _arbutuswalk.entry import syncing
-from _arbutuswalk.entry import upkeep
+from _arbutuswalk.entry import link_handler
+from _arbutuswalk.entry import maintenance
 from _arbutuswalk.load import checks
 from _arbutuswalk.load import workload
 from _arbutuswalk.state import commands
@@ -37,13 +37,13 @@
         self.control = worlds.Control(self.loop, self.rng)
         self.fleet = stream_machine.Fleet(self.loop, self.rng)
         self.entry = worlds.make_entry(self.loop, self.control, "a")
-        self.app = app.make(self.entry)
+        self.app = app.make_app(self.entry)
         for runner in self.fleet.runners.values():
-            from_runner = runner.said()
-            self.announce(from_runner)
+            announcement = runner.said()
+            self.announce(announcement)
 
-    def announce(self, said):
-        return self.post("/v1/upstreams/announce", said, headers={})
+    def announce(self, announcement):
+        return self.post("/v1/upstreams/announce", announcement, headers={})
 
     def run(self, coroutine):
         return self.loop.run_until_complete(coroutine)
@@ -65,10 +65,10 @@
 
 @pytest.fixture
 def edge(monkeypatch):
-    made = Edge()
-    monkeypatch.setattr(attempts, "run", made.fleet.run)
-    yield made
-    made.close()
+    harness = Edge()
+    monkeypatch.setattr(attempts, "run", harness.fleet.run)
+    yield harness
+    harness.close()
 
 
 def ask(reference="r1", **extra):
@@ -81,7 +81,7 @@
     }
 
 
-def events_of(response):
+def events_in(response):
     parts = response.body.split(b"\n\n")
     assert parts.pop() == b""
     return [part for part in parts if not part.startswith(b":")]
@@ -91,10 +91,10 @@
     return checks.text_of_events([e.split(b"\n", 1)[1] for e in events])
 
 
-def check_whole(reference, text, tokens=6):
-    item = workload.Item(**dict.fromkeys(workload.Item._fields, ""))
-    item = item._replace(ref=reference, max_tokens=tokens)
-    assert checks.check_text(item, text) == ""
+def check_generated_text(reference, text, tokens=6):
+    request_item = workload.Item(**dict.fromkeys(workload.Item._fields, ""))
+    request_item = request_item._replace(ref=reference, max_tokens=tokens)
+    assert checks.check_text(request_item, text) == ""
 
 
 class TestBadInput:
@@ -129,7 +129,7 @@
     def test_body(self, edge, body, status, title):
         response = edge.post(PLAIN, body)
         assert response.status == status
-        assert response.headers["content-type"] == http.PROBLEM_TYPE
+        assert response.headers["content-type"] == http.PROBLEM_CONTENT_TYPE
         assert response.json["title"] == title
         assert response.json["ran"] == "no"
 
@@ -185,13 +185,13 @@
     def test_announcement(self, edge, said):
         assert edge.announce(said).status == 400
 
-    def test_announcement_with_anothers_identity(self, edge):
-        before = edge.entry.upstreams.rows["u0"].said["address"]
-        said = worlds.said(
+    def test_announcement_of_a_known_id_from_another_address(self, edge):
+        address_before = edge.entry.upstreams.rows["u0"].said["address"]
+        announcement = worlds.said(
             "u0", "model", address="127.0.0.1:77", incarnation=1, sequence=50
         )
-        assert edge.announce(said).status == 409
-        assert edge.entry.upstreams.rows["u0"].said["address"] == before
+        assert edge.announce(announcement).status == 409
+        assert edge.entry.upstreams.rows["u0"].said["address"] == address_before
 
     @hypothesis.given(
         method=st.sampled_from(["GET", "POST", "PUT", "DELETE", "X"]),
@@ -248,18 +248,18 @@
 
 
 class TestStreams:
-    def test_events_are_numbered_and_whole(self, edge):
+    def test_events_are_numbered_and_complete(self, edge):
         response = edge.post(PLAIN, ask())
-        events = events_of(response)
+        events = events_in(response)
         ids = [e.split(b"\n")[0].decode() for e in events]
         request_id = response.headers["x-request-id"]
         assert ids == [f"id: {request_id}:{i}" for i in range(7)]
         assert events[-1].endswith(b"data: [DONE]")
-        check_whole("r1", text_of(events))
+        check_generated_text("r1", text_of(events))
 
     def test_whole_answer(self, edge):
         response = edge.post(PLAIN, ask(stream=False))
-        check_whole("r1", response.json["choices"][0]["text"])
+        check_generated_text("r1", response.json["choices"][0]["text"])
 
     def test_chat(self, edge):
         body = ask(stream=False)
@@ -281,39 +281,41 @@
         response = edge.post(PLAIN, ask("r2"), headers=headers)
         assert (response.status, response.json["ran"]) == (409, "no")
 
-    def test_key_of_another_workspace_is_another_key(self, edge):
+    def test_keys_are_separate_by_workspace(self, edge):
         headers = {**AUTH, "Idempotency-Key": "k"}
         edge.post(PLAIN, ask(), headers=headers)
         other = {"Authorization": "Bearer b", "Idempotency-Key": "k"}
         response = edge.post(PLAIN, ask("r2"), headers=other)
-        check_whole("r2", text_of(events_of(response)))
+        check_generated_text("r2", text_of(events_in(response)))
 
-    def test_resumption_goes_on_after_the_last_event(self, edge):
-        first = edge.post(PLAIN, ask(), leave_at=3)
-        seen = events_of(first)
+    def test_resumption_continues_after_the_last_event(self, edge):
+        first = edge.post(PLAIN, ask(), disconnect_after=3)
+        seen = events_in(first)
         assert 0 < len(seen) < 7
         last = seen[-1].split(b"\n")[0].removeprefix(b"id: ").decode()
         headers = {**AUTH, "Last-Event-ID": last}
-        rest = events_of(edge.post(PLAIN, ask(), headers=headers))
-        check_whole("r1", text_of(seen + rest))
+        rest = events_in(edge.post(PLAIN, ask(), headers=headers))
+        check_generated_text("r1", text_of(seen + rest))
 
-    def test_lost_generation_is_reset_and_never_spliced(self, edge):
+    def test_lost_generation_restarts_after_a_reset_event(self, edge):
         headers = {**AUTH, "Last-Event-ID": "b~gone:4"}
         response = edge.post(PLAIN, ask(), headers=headers)
-        events = events_of(response)
+        events = events_in(response)
         assert events[0].startswith(b"event: reset")
-        check_whole("r1", text_of(events[1:]))
+        check_generated_text("r1", text_of(events[1:]))
 
-    def test_vanished_caller_cancels_the_work(self, edge):
-        edge.post(PLAIN, ask(max_tokens=2000), leave_at=2)
+    def test_disconnected_caller_cancels_the_request(self, edge):
+        edge.post(PLAIN, ask(max_tokens=2000), disconnect_after=2)
         (request,) = edge.entry.requests.values()
-        task = asyncio.ensure_future(upkeep.run(edge.entry), loop=edge.loop)
+        task = asyncio.ensure_future(
+            maintenance.run(edge.entry), loop=edge.loop
+        )
         edge.run(asyncio.sleep(8))
         assert request.answer.ended
         assert request.task.done()
         task.cancel()
 
-    def test_no_upstream_is_a_true_refusal_with_a_time(self, edge):
+    def test_no_upstream_is_refused_with_retry_after(self, edge):
         for identity in list(edge.entry.upstreams.rows):
             edge.entry.upstreams.remove(identity)
         response = edge.post(PLAIN, ask())
@@ -321,7 +323,7 @@
         assert response.json["ran"] == "no"
         assert "retry-after" in response.headers
 
-    def test_deadline_that_cannot_be_met_is_refused_at_once(self, edge):
+    def test_unreachable_deadline_is_refused_immediately(self, edge):
         async def flood():
             calls = [
                 asgi.call(
@@ -349,14 +351,16 @@
 
 
 class TestLease:
-    def test_without_a_lease_new_work_is_refused_and_others_named(self, edge):
-        edge.entry.lease_until = edge.loop.time() - 1
+    def test_without_a_lease_new_requests_are_refused_naming_other_entries(
+        self, edge
+    ):
+        edge.entry.lease_expires_at = edge.loop.time() - 1
         edge.entry.view["entries"]["b"] = {"address": "127.0.0.1:55"}
         response = edge.post(PLAIN, ask())
         assert (response.status, response.json["ran"]) == (503, "no")
         assert "127.0.0.1:55" in response.json["detail"]
 
-    def test_running_work_goes_on_without_a_lease(self, edge):
+    def test_running_request_continues_without_a_lease(self, edge):
         async def lose_lease():
             call = asyncio.ensure_future(
                 asgi.call(
@@ -368,13 +372,13 @@
                 )
             )
             await asyncio.sleep(0.1)
-            edge.entry.lease_until = float("-inf")
+            edge.entry.lease_expires_at = float("-inf")
             return await call
 
         response = edge.run(lose_lease())
-        check_whole("r1", text_of(events_of(response)))
+        check_generated_text("r1", text_of(events_in(response)))
 
-    def test_lease_counts_from_before_the_asking(self, edge):
+    def test_lease_starts_when_the_sync_is_sent(self, edge):
         async def slow(message, *, timeout_s):
             await asyncio.sleep(2.0)
             return ttypes.SyncReply(
@@ -386,10 +390,10 @@
 
         edge.entry.control.call = slow
         asked_at = edge.loop.time()
-        edge.run(syncing._sync(edge.entry))
-        assert edge.entry.lease_until == asked_at + 3.0
+        edge.run(control_sync._sync(edge.entry))
+        assert edge.entry.lease_expires_at == asked_at + 3.0
 
-    def test_view_never_goes_back(self, edge):
+    def test_older_view_is_ignored(self, edge):
         async def stale(message, *, timeout_s):
             old = {"configuration": {"revision": 0, "inventory": None}}
             return ttypes.SyncReply(
@@ -400,15 +404,15 @@
             )
 
         edge.entry.view_version = 50
-        edge.entry.lease_until = -1.0
+        edge.entry.lease_expires_at = -1.0
         edge.entry.control.call = stale
-        edge.run(syncing._sync(edge.entry))
+        edge.run(control_sync._sync(edge.entry))
         assert edge.entry.revision == 1
-        assert not edge.entry.admits
+        assert not edge.entry.accepts_work
 
 
 class TestEntries:
-    def test_draining_entry_leaves_the_list(self, edge):
+    def test_draining_entry_is_not_listed(self, edge):
         assert len(edge.get("/v1/entries").json["entries"]) == 1
         edge.control.commit(
             commands.SetEntryState("a", edge.entry.incarnation, "draining")
@@ -420,19 +424,19 @@
 
 
 class TestServices:
-    def test_key_is_required_where_calls_may_not_be_repeated(self, edge):
+    def test_non_idempotent_route_requires_a_key(self, edge):
         response = edge.post("/v1/services/claims/claims", {})
         assert (response.status, response.json["title"]) == (
             400,
             "missing key",
         )
 
-    def test_unknown_route_names_the_known_ones(self, edge):
+    def test_unknown_route_lists_the_known_routes(self, edge):
         response = edge.post("/v1/services/claims/other", {})
         assert response.status == 404
         assert "POST /claims" in response.json["detail"]
 
-    def test_no_upstream_means_not_run(self, edge):
+    def test_call_without_an_upstream_is_not_run(self, edge):
         headers = {**AUTH, "Idempotency-Key": "k"}
         response = edge.post("/v1/services/claims/claims", {}, headers)
         assert (response.status, response.json["ran"]) == (503, "no")
@@ -456,14 +460,14 @@
 
     def test_dump_is_json(self, edge):
         edge.post(PLAIN, ask())
-        dumped = json.loads(json.dumps(links.dump(edge.entry)))
+        dumped = json.loads(json.dumps(link_handler.dump_state(edge.entry)))
         assert dumped["role"] == "entry"
         assert len(dumped["upstreams"]) == stream_machine.RUNNERS
 
-    def test_explain_tells_each_attempt(self, edge):
+    def test_explain_lists_each_attempt(self, edge):
         edge.post(PLAIN, ask())
         (request_id,) = edge.entry.requests
-        handle = links.handler(edge.entry)
+        handle = link_handler.make_handler(edge.entry)
         message = ttypes.Read(query="explain", argument=request_id)
         reply = edge.run(handle(message))
         assert "attempt 1" in json.loads(reply.result)["history"][0]
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -6,7 +6,7 @@
 import stream_machine
 import twins
 
-from _arbutuswalk.entry import running
+from _arbutuswalk.entry import execution
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import framing
@@ -16,36 +16,36 @@
     """Runs the machine with the profile in force."""
 
 
-class TestPlantedFaults:
+class TestInjectedFaults:
     """Each fault below is one the oracle has to see."""
 
-    def test_continuation_that_starts_over(self, monkeypatch):
-        real = running._order
+    def test_continuation_that_restarts_is_detected(self, monkeypatch):
+        original_order = execution._order
 
-        def forgetful(state, row):
-            order = real(state, row)
+        def order_without_continuation(state, row):
+            order = original_order(state, row)
             order.body.pop("continue_from", None)
             return order
 
-        monkeypatch.setattr(running, "_order", forgetful)
+        monkeypatch.setattr(execution, "_order", order_without_continuation)
         with pytest.raises(AssertionError):
             twins.run(stream_machine.StreamMachine)
 
-    def test_suspects_that_run_beside_each_other(self, monkeypatch):
+    def test_suspects_on_shared_upstreams_are_detected(self, monkeypatch):
         monkeypatch.setattr(
-            stream_machine.worlds.core.Entry,
+            stream_machine.worlds.entry_state.Entry,
             "is_suspect",
             lambda self, fingerprint: False,
         )
         with pytest.raises(AssertionError):
             twins.run(stream_machine.StreamMachine)
 
-    def test_reclaim_taken_for_a_crash(self, monkeypatch):
+    def test_reclaim_reported_as_a_crash_is_detected(self, monkeypatch):
         async def report_all(state, row, result):
             blamed = await suspicion.report_death(state.entry, row)
             return True, blamed
 
-        monkeypatch.setattr(running, "_look_for_death", report_all)
+        monkeypatch.setattr(execution, "_look_for_death", report_all)
         with pytest.raises(AssertionError):
             twins.run(stream_machine.StreamMachine)
 
@@ -83,16 +83,18 @@
 
 
 class TestAnswer:
-    def test_a_failure_after_the_end_changes_nothing(self):
-        made = answer.Answer(request_id="r")
-        made.finish()
-        made.fail(answer.Problem(500, "late", "", "yes"))
-        assert made.problem is None
-
-    def test_readers_are_woken(self):
-        made = answer.Answer(request_id="r")
-        woken = []
-        made.readers.add(lambda: woken.append(len(made.events)))
-        made.add([b"data: a", b"data: b"])
-        made.finish()
-        assert woken == [2, 2]
+    def test_failure_after_the_end_is_ignored(self):
+        ended_answer = answer.Answer(request_id="r")
+        ended_answer.finish()
+        ended_answer.fail(answer.Problem(500, "late", "", "yes"))
+        assert ended_answer.problem is None
+
+    def test_readers_are_called(self):
+        growing_answer = answer.Answer(request_id="r")
+        event_counts = []
+        growing_answer.readers.add(
+            lambda: event_counts.append(len(growing_answer.events))
+        )
+        growing_answer.add([b"data: a", b"data: b"])
+        growing_answer.finish()
+        assert event_counts == [2, 2]
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -9,18 +9,18 @@
 import worlds
 
 from _arbutuswalk.entry import announcing
-from _arbutuswalk.entry import news
-from _arbutuswalk.entry import placing
+from _arbutuswalk.entry import peer_updates
+from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-NAMES = ("a", "b")
+ENTRY_NAMES = ("a", "b")
 
 
 class TestProbe:
-    async def test_process_that_is_just_ending_is_gone(self):
+    async def test_closing_listener_counts_as_refused(self):
         """Its listener accepts for a moment after its connections broke."""
 
         async def end(_, writer):
@@ -32,7 +32,7 @@
         probe = await suspicion._probe(f"127.0.0.1:{port}")
         assert probe == suspicion._REFUSED
 
-    async def test_process_that_answers_is_there(self):
+    async def test_any_response_counts_as_answered(self):
         async def answer(reader, writer):
             await reader.readline()
             writer.write(b"HTTP/1.1 404 Not Found\r\n\r\n")
@@ -41,12 +41,12 @@
 
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        assert await suspicion._probe(f"127.0.0.1:{port}") == suspicion._OPEN
+        assert (
+            await suspicion._probe(f"127.0.0.1:{port}") == suspicion._ANSWERED
+        )
         server.close()
 
-    async def test_process_that_accepts_and_says_nothing_is_in_doubt(
-        self, monkeypatch
-    ):
+    async def test_silent_listener_counts_as_no_answer(self, monkeypatch):
         monkeypatch.setattr(suspicion, "PROBE_TIMEOUT_S", 0.05)
 
         async def hold(reader, _):
@@ -61,54 +61,62 @@
 
 @pytest.fixture
 def loop():
-    made = virtual.VirtualLoop()
-    yield made
-    virtual.close(made)
+    virtual_loop = virtual.VirtualLoop()
+    yield virtual_loop
+    virtual.close(virtual_loop)
 
 
 @pytest.fixture
 def entries(loop):
     control = worlds.Control(loop, random.Random(1))
-    return [worlds.make_entry(loop, control, name) for name in NAMES]
+    return [worlds.make_entry(loop, control, name) for name in ENTRY_NAMES]
 
 
-class TestHearsay:
-    def tell(self, entry, fingerprints):
-        told = {"kind": news.SUSPECTS, "fingerprints": fingerprints}
-        message = ttypes.UpstreamNews(announcements=[json.dumps(told).encode()])
-        announcing.on_news(entry, message)
+class TestPeerSuspects:
+    def receive_suspects(self, entry, fingerprints):
+        update = {"kind": peer_updates.SUSPECTS, "fingerprints": fingerprints}
+        message = ttypes.UpstreamNews(
+            announcements=[json.dumps(update).encode()]
+        )
+        announcing.on_peer_updates(entry, message)
 
-    def test_suspect_counts_before_its_report_is_committed(self, entries):
+    def test_suspect_counts_before_the_report_is_committed(self, entries):
         assert not entries[1].is_suspect("f")
-        self.tell(entries[1], ["f"])
+        self.receive_suspects(entries[1], ["f"])
         assert entries[1].is_suspect("f")
         assert not entries[1].is_suspect("g")
 
-    def test_word_of_it_runs_out(self, loop, entries):
-        self.tell(entries[1], ["f"])
-        loop.run_until_complete(asyncio.sleep(suspicion.HEARSAY_S + 0.1))
+    def test_peer_suspect_expires(self, loop, entries):
+        self.receive_suspects(entries[1], ["f"])
+        loop.run_until_complete(
+            asyncio.sleep(suspicion.PEER_SUSPECT_TTL_S + 0.1)
+        )
         assert not entries[1].is_suspect("f")
-        suspicion.forget_hearsay(entries[1])
-        assert entries[1].heard_suspects == {}
+        suspicion.expire_peer_suspects(entries[1])
+        assert entries[1].peer_suspects == {}
 
-    def test_death_is_told_to_the_others_with_all_that_ran_there(
+    def test_death_report_sends_all_running_fingerprints_to_peers(
         self, loop, entries, monkeypatch
     ):
-        told = []
+        sent_updates = []
         monkeypatch.setattr(
-            news, "tell_others", lambda entry, item: told.append(item)
+            peer_updates,
+            "tell_others",
+            lambda entry, update: sent_updates.append(update),
         )
         entry = entries[0]
-        said = worlds.said("u0", "model")
-        upstreams.announce(entry.upstreams, said, heard_at=loop.time())
+        announcement = worlds.said("u0", "model")
+        upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
         row = entry.upstreams.rows["u0"]
         row.broken.add("f")
         loop.run_until_complete(suspicion.report_death(entry, row))
-        assert told == [{"kind": news.SUSPECTS, "fingerprints": ["f"]}]
+        assert sent_updates == [
+            {"kind": peer_updates.SUSPECTS, "fingerprints": ["f"]}
+        ]
 
 
 class TestReservations:
-    def request(self, entry):
+    def make_request(self, entry):
         body = {"model": "model", "prompt": "ref:i0", "max_tokens": 4}
         return requests.ModelRequest(
             request_id="a~1",
@@ -128,22 +136,22 @@
     ):
         """After two deaths of four the other two may be reserved at once."""
         entry = entries[0]
-        said = worlds.said("u0", "model")
-        upstreams.announce(entry.upstreams, said, heard_at=loop.time())
+        announcement = worlds.said("u0", "model")
+        upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
         row = entry.upstreams.rows["u0"]
         row.isolated = "suspect"
-        request = self.request(entry)
-        assert placing.early_refusal(entry, request) is None
+        request = self.make_request(entry)
+        assert placement.early_refusal(entry, request) is None
 
         async def wait():
-            ticket = placing.enqueue(entry, request)
+            ticket = placement.enqueue(entry, request)
             row.isolated = ""
-            placing.pump(entry, "model")
-            return await placing.place(entry, request, ticket)
+            placement.place_queued(entry, "model")
+            return await placement.wait_for_placement(entry, request, ticket)
 
         assert loop.run_until_complete(wait()) is row
 
     def test_request_is_refused_where_no_upstream_is_up(self, entries):
-        request = self.request(entries[0])
-        refusal = placing.early_refusal(entries[0], request)
+        request = self.make_request(entries[0])
+        refusal = placement.early_refusal(entries[0], request)
         assert refusal.title == "no upstream"
--- a/testing/worlds.py
+++ b/testing/worlds.py
@@ -6,7 +6,7 @@
 import virtual
 
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.state import ledger
@@ -16,7 +16,7 @@
 from _arbutuswalk.state import view
 from _arbutuswalk.wire import link
 
-VALUES = {
+ENTRY_SETTINGS = {
     "address": "127.0.0.1:1",
     "link_address": "127.0.0.1:2",
     "domain": "d1",
@@ -94,7 +94,7 @@
         self.modes = ["ok"]
         self.seen = {}
 
-    def is_alone(self, upstream):
+    def runs_alone(self, upstream):
         """What the leader concludes from the entries' reports."""
         isolation = self.tables.isolations.get(upstream)
         return isolation is not None and all(
@@ -108,8 +108,8 @@
         payload = machine.stamp(command, at_ms)
         outcome = machine.apply(self.tables, payload, self.index)
         # What a restart would load must be what is there.
-        dumped = machine.dump(self.tables)
-        assert machine.dump(machine.load(dumped)) == dumped
+        dump = machine.dump(self.tables)
+        assert machine.dump(machine.load(dump)) == dump
         return outcome
 
     def client(self):
@@ -121,7 +121,7 @@
 
     def __init__(self, control):
         self.control = control
-        self.relays = []
+        self.relay_addresses = []
 
     async def submit(self, command, *, timeout_s):
         control = self.control
@@ -141,18 +141,18 @@
     async def read(self, query, argument="", *, timeout_s):
         if query == "alone":
             await asyncio.sleep(0.002)
-            return {"alone": self.control.is_alone(argument)}
+            return {"alone": self.control.runs_alone(argument)}
         assert query == "call"
         await asyncio.sleep(0.002)
         if self.control.rng.choice(self.control.modes) == "lost":
             await asyncio.sleep(timeout_s)
             return control_client.Unreachable(reason="lost")
         workspace, _, key = argument.partition("\n")
-        found = ledger.find(self.control.tables, workspace, key)
-        return outcomes.to_json(found)
+        call = ledger.find(self.control.tables, workspace, key)
+        return outcomes.to_json(call)
 
 
-class DeafLink:
+class UnreachableLink:
     """A link to another entry that never opens."""
 
     async def call(self, message, *, timeout_s):
@@ -164,15 +164,15 @@
 
 def make_entry(loop, control, name, incarnation=1):
     """Returns an entry that is registered, leased and configured."""
-    entry = core.Entry(
-        values={**VALUES, "id": name},
+    entry = entry_state.Entry(
+        settings={**ENTRY_SETTINGS, "id": name},
         incarnation=incarnation,
         session=None,
         now=loop.time,
         wall=loop.time,
     )
     entry.control = control.client()
-    entry.link_to = lambda address: DeafLink()
+    entry.link_to = lambda address: UnreachableLink()
     control.commit(
         commands.RegisterEntry(
             name, incarnation, "127.0.0.1:1", "127.0.0.1:2", "d1", 1, "local"
@@ -187,7 +187,7 @@
     if control.tables.revision == 0:
         control.commit(commands.Apply("op", "test", 0, INVENTORY))
     entry.view = json.loads(json.dumps(view.parts_since(control.tables, -1)))
-    entry.lease_until = float("inf")
+    entry.lease_expires_at = float("inf")
     entry.registered = True
 
 
