--- a/src/_arbutuswalk/entry/__init__.py
+++ b/src/_arbutuswalk/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry process: callers' and upstreams' HTTP."""
+"""The entry process, which serves HTTP to callers and upstreams."""
--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -1,4 +1,7 @@
-"""Upstreams announce themselves at any entry; entries tell each other."""
+"""Announcements and cache events of upstreams.
+
+An upstream posts to any entry, which forwards what it receives to its peers.
+"""
 
 import asyncio
 import json
@@ -22,11 +25,11 @@
 
 MAX_CACHE_EVENT_BLOCKS = 4096
 RESTART_WINDOW_S = 3.0
-"""How long after its connections broke a restarted upstream announces."""
+"""Time from broken connections to the announcement of a restarted upstream."""
 
 
 def announce_endpoint(entry: entry_state.Entry):
-    """Returns the endpoint for announcements and heartbeats."""
+    """Returns the endpoint that receives announcements and heartbeats."""
 
     async def announce(
         request: http_requests.Request,
@@ -61,7 +64,7 @@
 
 
 def cache_events_endpoint(entry: entry_state.Entry):
-    """Returns the endpoint for cache events."""
+    """Returns the endpoint that receives cache events."""
 
     async def cache_events(
         request: http_requests.Request,
@@ -85,7 +88,7 @@
     *,
     age_s: float,
 ) -> upstreams.Refused | None:
-    """Takes an announcement that was made ``age_s`` seconds ago."""
+    """Applies an announcement that was made ``age_s`` seconds ago."""
     heard_at = entry.now() - age_s
     outcome = upstreams.announce(
         entry.upstreams, announcement, heard_at=heard_at
@@ -110,7 +113,7 @@
 def on_peer_updates(
     entry: entry_state.Entry, message: ttypes.UpstreamNews
 ) -> None:
-    """Takes what another entry was told."""
+    """Applies updates that a peer entry received and forwarded."""
     for encoded in message.announcements:
         update = json.loads(encoded)
         if update["kind"] == peer_updates.ANNOUNCEMENT:
@@ -124,9 +127,10 @@
 def _report_replaced_death(
     entry: entry_state.Entry, replaced: upstreams.Row | None
 ) -> None:
-    """Reports the death of an incarnation that came back before it was seen.
+    """Reports the death of an incarnation that restarted before a probe.
 
-    Its connections broke off, but a probe met the one that replaced it.
+    Its connections broke, but the probe that followed was answered by the
+    incarnation that replaced it, so its attempts were recorded as spared.
     """
     if replaced is None:
         return
--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP application."""
+"""HTTP routes of the entry."""
 
 import json
 from typing import Any
@@ -26,8 +26,8 @@
 def make_app(entry: entry_state.Entry):
     """Returns the ASGI application of an entry.
 
-    Model routes are served before the framework's middle layers, so that
-    streams see the server's own send.
+    Model routes bypass the framework's middleware, because streaming needs
+    the server's own ``send`` to reach its flow control.
     """
     entry.start_request = lambda request: models.start_task(entry, request)
     model_endpoints = {
--- a/src/_arbutuswalk/entry/calls.py
+++ b/src/_arbutuswalk/entry/calls.py
@@ -1,8 +1,8 @@
-"""Non-repeatable calls: at most once, whatever fails.
+"""Runs non-idempotent calls at most once.
 
-The intent is committed before a connection is opened. After a byte may have
-left, nobody tries again. Only a connection that never opened withdraws the
-intent.
+The intent to run a call is committed before a connection is opened. Once any
+byte may have been sent, the call is never sent again. The intent is withdrawn
+only if no connection opened.
 """
 
 import asyncio
@@ -24,8 +24,8 @@
 
 COMMIT_TIMEOUT_S = 3.0
 MAX_GRANT_AGE_S = 4.0
-"""How old a grant may be when the call is sent: an entry that was paused
-longer may have been declared gone meanwhile."""
+"""Maximum age of a grant when the call is sent. An entry that was paused for
+longer may have been declared gone in the meantime."""
 RUNNING_POLL_INTERVAL_S = 0.2
 RECORD_RETRY_INTERVAL_S = 1.0
 MAX_RECORD_ATTEMPTS = 60
@@ -39,9 +39,9 @@
 async def run_once(
     entry: entry_state.Entry, call: services.ServiceCall
 ) -> Outcome:
-    """Runs a call at most once and returns its answer or what is known.
+    """Runs a call at most once and returns its answer or known outcome.
 
-    A resend that comes while the call runs here waits for the same answer.
+    A resend that arrives while the call runs here waits for the same answer.
     """
     identity = (call.workspace, call.key)
     digest = _call_digest(call)
@@ -68,7 +68,7 @@
 async def _commit_and_send(
     entry: entry_state.Entry, call: services.ServiceCall, digest: str
 ) -> Outcome:
-    """Commits the intent, then sends; tries again only if never opened."""
+    """Commits the intent and sends; retries only if no connection opened."""
     avoid: set[str] = set()
     for _ in range(MAX_CONNECT_ATTEMPTS):
         row = await services.wait_for_upstream(entry, call, frozenset(avoid))
@@ -103,7 +103,7 @@
     if isinstance(outcome, outcomes.Reused):
         return reused_problem()
     if isinstance(outcome, control_client.Unreachable):
-        # The intent may still be committed; it will never be sent.
+        # The intent may still be committed, but the call is never sent.
         _withdraw_in_background(entry, call, attempt)
         return _not_run("the control group did not answer")
     return _not_run("the entry has to register again")
@@ -115,7 +115,7 @@
     attempt: str,
     row: upstreams.Row,
 ) -> Outcome | None:
-    """Sends a granted call; None when it never left and was withdrawn."""
+    """Sends a granted call; None if it was not sent and was withdrawn."""
     row.sent += 1
     row.active[call.call_id] = None
     started = entry.now()
@@ -159,7 +159,7 @@
     attempt: str,
     row: upstreams.Row,
 ) -> Outcome:
-    """Asks the status route what became of a call whose answer is lost."""
+    """Queries the status route about a call whose answer was lost."""
     events.warn(events.Event.CALL_UNKNOWN, call.key, row.key)
     entry.metrics.count("calls_unknown")
     reply = await query_status_route(
@@ -181,10 +181,10 @@
     key: str,
     row: upstreams.Row | None,
 ) -> exchange.Reply | None:
-    """Returns the recorded answer of a call, if the service has one.
+    """Returns the answer that the service recorded for a call, if any.
 
-    A status that says "not run" proves nothing while the call may still be
-    on its way, so only a positive answer counts.
+    A status of "not run" proves nothing while the call may still be in
+    transit, so only a positive answer counts.
     """
     status_path = route.get("status", "")
     rows = [row] if row else []
@@ -216,7 +216,7 @@
     call: services.ServiceCall,
     state: outcomes.CallState,
 ) -> Outcome:
-    """Answers a resend from the record, waiting while the call runs."""
+    """Answers a resend from the call's record, waiting while it runs."""
     while state.state == "running" and entry.now() < call.deadline:
         await asyncio.sleep(RUNNING_POLL_INTERVAL_S)
         reply = await entry.control.read(
@@ -240,7 +240,7 @@
 
 
 def outcome_of_record(state: outcomes.CallState) -> Outcome:
-    """Returns the answer or problem that a record stands for."""
+    """Returns the answer or problem that a recorded call state represents."""
     if state.state == "done":
         return exchange.Reply(
             status=state.status,
@@ -255,7 +255,7 @@
 
 
 def reused_problem() -> answer.Problem:
-    """Returns the refusal of a key that belongs to another body."""
+    """Returns the refusal of a key that was used with another call."""
     detail = "the Idempotency-Key was used with another call"
     return answer.Problem(409, "key reused", detail, "no")
 
@@ -316,7 +316,7 @@
 def _record_in_background(
     entry: entry_state.Entry, command: commands.Command
 ) -> None:
-    """Commits what is known of a call, however long it takes."""
+    """Commits the outcome of a call in the background, with retries."""
     entry.track_task(
         asyncio.ensure_future(_submit_until_recorded(entry, command))
     )
--- a/src/_arbutuswalk/entry/control_client.py
+++ b/src/_arbutuswalk/entry/control_client.py
@@ -1,4 +1,8 @@
-"""Talks to the control group: finds the leader, resends, goes round cuts."""
+"""Client of the control group.
+
+Finds the leader, resends messages, and relays through other entries when no
+control process can be reached directly.
+"""
 
 import asyncio
 import dataclasses
@@ -17,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unreachable:
-    """No leader answered in time; the command may be committed or not."""
+    """No leader answered in time; the command may or may not be committed."""
 
     reason: str
 
@@ -30,14 +34,14 @@
 
 
 class ControlClient:
-    """Calls to whichever control process leads.
+    """Sends messages to the leader of the control group.
 
     Attributes:
-        addresses: Control processes from the settings.
-        relays: Other entries' link addresses, tried when no control process
-            answers directly.
-        links: Link by address.
-        preferred: Address that answered last.
+        addresses: Addresses of the control processes, from the settings.
+        relay_addresses: Link addresses of other entries, tried when no
+            control process answers directly.
+        links_by_address: Link by address.
+        preferred_address: Address to try next.
     """
 
     def __init__(
@@ -54,13 +58,13 @@
     ) -> object:
         """Sends ``message`` until a leader answers it.
 
-        Every message is safe to send again.
+        Every message is idempotent, so resending is safe.
 
         Args:
             message: Submit, Sync or Read.
-            timeout_s: How long to try.
-            relayed: Whether it is another entry's, which goes no further
-                than to a control process.
+            timeout_s: Time for all attempts.
+            relayed: Whether another entry sent the message; such a message
+                is forwarded to control processes only.
 
         Returns:
             The leader's reply, or ``Unreachable``.
@@ -81,7 +85,7 @@
                 return reply
             reason = getattr(reply, "reason", "") or "no leader"
             if isinstance(reply, link.TimedOut):
-                # The connection may be silent for good while new ones work.
+                # This connection may be dead while new ones still work.
                 self.link_to(address).close("timed out")
             self.preferred_address = self._next_address(address, reply)
             if status is None or not reply.leader:
@@ -103,7 +107,7 @@
     async def read(
         self, query: str, argument: str = "", *, timeout_s: float
     ) -> Any | Unreachable | Rejected:
-        """Reads current state; never stale."""
+        """Reads the current state from the leader; never stale."""
         message = ttypes.Read(query=query, argument=argument)
         reply = await self.call(message, timeout_s=timeout_s)
         if isinstance(reply, Unreachable):
@@ -113,7 +117,7 @@
         return json.loads(reply.result)
 
     def link_to(self, address: str) -> link.Link:
-        """Returns the link to an address, made on first use."""
+        """Returns the link to an address, creating it on first use."""
         existing = self.links_by_address.get(address)
         if existing is None:
             existing = link.Link(address=address, now=self.now)
@@ -126,7 +130,7 @@
             await open_link.stop()
 
     def _next_address(self, address: str, reply: object) -> str:
-        """Returns whom to ask next: the named leader, or the next in turn."""
+        """Returns the next address: the named leader, or the next in turn."""
         leader = getattr(reply, "leader", None)
         if leader and leader != address:
             return leader
--- a/src/_arbutuswalk/entry/control_sync.py
+++ b/src/_arbutuswalk/entry/control_sync.py
@@ -1,4 +1,4 @@
-"""Registration, lease and view: what ties an entry to the control group."""
+"""Keeps an entry registered, its lease renewed and its view current."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 async def run(entry: entry_state.Entry) -> None:
-    """Keeps the entry registered and its lease fresh until cancelled."""
+    """Keeps the entry registered and its lease renewed until cancelled."""
     while True:
         if not entry.registered:
             await _register(entry)
@@ -55,7 +55,7 @@
 
 
 async def _sync(entry: entry_state.Entry) -> None:
-    """Asks for a stamp; the lease runs from before the asking."""
+    """Renews the lease, which starts when the message is sent."""
     asked_at = entry.now()
     message = ttypes.Sync(
         entry=entry.name,
@@ -71,7 +71,7 @@
         entry.registered = False
         return
     if reply.view_version < entry.view_version:
-        return  # never go back, and take no lease from who would
+        return  # a reply from older state renews no lease
     _apply_view(entry, json.loads(reply.view), reply.view_version)
     had_lease = entry.now() < entry.lease_expires_at
     entry.lease_expires_at = asked_at + reply.lease_ms / clock.MS_PER_S
@@ -104,7 +104,7 @@
 
 
 def _drop_ended_cut_offs(entry: entry_state.Entry) -> None:
-    """Ends local cut-offs of versions that no live move brings in."""
+    """Drops local cut-offs of versions that no live move introduces."""
     live_versions = {
         (move["upstream"], move["new"])
         for move in entry.moves.get("live", {}).values()
@@ -117,7 +117,7 @@
 
 
 def make_report(entry: entry_state.Entry) -> dict[str, Any]:
-    """Returns what the control group's decisions need from this entry."""
+    """Returns the observations that the control group decides on."""
     now = entry.now()
     upstream_rows = {
         row.said["id"]: [
--- a/src/_arbutuswalk/entry/delivery.py
+++ b/src/_arbutuswalk/entry/delivery.py
@@ -1,8 +1,8 @@
-"""Bringing an answer to its caller, as a stream or whole.
+"""Delivers an answer to its caller, as a stream or as one response.
 
-While the caller keeps up, events are written in the callback that brings them.
-The connection's task wakes only for the end, a slow or vanished caller, and
-keep-alives.
+While the connection is writable, events are written in the callback that
+receives them. The connection's task is woken only for the end of the answer, a
+slow or disconnected caller, and keep-alives.
 """
 
 import asyncio
@@ -26,16 +26,17 @@
 
 
 class AnswerReader:
-    """One caller's place in an answer.
+    """Delivery state of one caller of an answer.
 
     Attributes:
         answer: The answer.
         send: ASGI send of the caller's connection.
-        flow: The server's flow control, None where it has none to see.
-        position: Number of the next event to send.
-        direct: Whether events may be written as they come.
-        grown: Wakes the connection's task.
-        wrote: Whether anything was written since the last look.
+        flow_control: The server's flow control, None if it exposes none.
+        next_event: Number of the next event to send.
+        write_directly: Whether events may be written as they arrive.
+        wakeup: Wakes the connection's task.
+        wrote_recently: Whether anything was written since the last
+            keep-alive check.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.wrote_recently = False
 
     def __call__(self) -> None:
-        """Writes what is new, or wakes the connection's task."""
+        """Writes new events, or wakes the connection's task."""
         writable = self.write_directly and not self.flow_control.write_paused
         if not writable or self.answer.ended:
             self.wakeup.set()
@@ -62,7 +63,7 @@
             _send_without_waiting(self.send, _body_message(data))
 
     def take_unsent(self) -> bytes:
-        """Returns the events that were not sent yet."""
+        """Returns the events that were not sent yet and marks them as sent."""
         data = self.answer.framed(self.next_event)
         self.next_event = max(self.next_event, len(self.answer.events))
         self.wrote_recently = self.wrote_recently or bool(data)
@@ -70,10 +71,10 @@
 
 
 def _send_without_waiting(send: http.Send, message: dict[str, Any]) -> None:
-    """Runs an ASGI send to its end at once.
+    """Completes an ASGI send without yielding to the event loop.
 
-    The server's send only waits while writing is paused, which the caller has
-    ruled out.
+    The server's send waits only while writing is paused, which the calling
+    function has ruled out.
     """
     coroutine = send(message)
     try:
@@ -81,7 +82,7 @@
     except StopIteration:
         return
     coroutine.close()
-    raise RuntimeError("send waited although writing was not paused")
+    raise RuntimeError("ASGI send blocked although writing was not paused")
 
 
 async def deliver(
@@ -93,10 +94,10 @@
     first_event: int = 0,
     reset: bool = False,
 ) -> None:
-    """Delivers an answer from event ``start`` on until it ends.
+    """Delivers an answer, starting at ``first_event``, until it ends.
 
-    Returns early when the caller goes away; the request then counts as
-    orphaned and is cancelled if nobody resumes it.
+    Returns early if the caller disconnects. A request without readers is
+    cancelled unless a caller resumes it in time.
     """
     reader = AnswerReader(
         answer=request.answer, send=send, first_event=first_event
@@ -138,7 +139,7 @@
         data = reader.take_unsent()
         if data:
             await send(_body_message(data))
-            continue  # more may have come while the caller was slow
+            continue  # more events may have arrived during the send
         reader.write_directly = reader.flow_control is not None
         connected = await _wait_for_wakeup(reader, disconnected)
         reader.write_directly = False
@@ -161,7 +162,7 @@
 async def _wait_for_wakeup(
     reader: AnswerReader, disconnected: asyncio.Future
 ) -> bool:
-    """Waits until woken or for a keep-alive; false if the caller is gone."""
+    """Waits for a wakeup or a keep-alive; false if the caller is gone."""
     if disconnected.done():
         return False
     if not reader.wakeup.is_set():
@@ -199,7 +200,7 @@
 
 
 def completion_body(request: requests.ModelRequest) -> dict[str, Any]:
-    """Returns the usual body of an answer that was not streamed."""
+    """Returns the OpenAI-style body of an answer that was not streamed."""
     text = request.answer.text()
     usage = _reported_usage(request)
     if request.route == "chat":
--- a/src/_arbutuswalk/entry/entry_state.py
+++ b/src/_arbutuswalk/entry/entry_state.py
@@ -1,4 +1,4 @@
-"""State of an entry process: tables that its systems run over."""
+"""State of an entry process, shared by its tasks."""
 
 import asyncio
 import random
@@ -20,45 +20,48 @@
 from _arbutuswalk.wire import link
 
 INITIAL_TOKENS_PER_S = 16.0
-"""Tokens a second that a slot is taken to give before any was seen."""
+"""Tokens per second assumed for a slot before any attempt was measured."""
 SPEED_SMOOTHING = 0.1
 MIN_TOKENS_FOR_SPEED = 8
 
 
 class Entry:
-    """Everything one entry process knows.
+    """State of one entry process.
 
     Attributes:
-        name: Id of the entry, stable over restarts.
-        incarnation: Higher with each start and each new registration.
-        values: Settings.
-        view: Parts of the replicated state, by part.
+        name: Id of the entry, stable across restarts.
+        incarnation: Increases with each start and each new registration.
+        settings: Settings by key.
+        view: Parts of the replicated state, by name.
         view_version: Version of the newest part.
-        registered: Whether control knows this incarnation.
-        lease_until: Until when new work may be admitted, in seconds.
-        draining: Whether the entry is on its way out.
+        registered: Whether the control group knows this incarnation.
+        lease_expires_at: Time until which new work may be accepted, in
+            seconds.
+        draining: Whether the entry is shutting down.
         upstreams: Upstreams that announced themselves.
-        queues: Waiting tickets by upstream name.
-        budgets: Retry budget by upstream name.
+        queues: Queue of waiting requests by upstream name.
+        retry_budgets: Retry budget by upstream name.
         evidence: Outcomes by upstream, version and route.
         requests: Model requests by id, kept while they can be resumed.
-        by_key: Request id by (workspace, idempotency key).
-        calls: Futures of non-repeatable calls that run here, by (workspace,
-            key).
-        suspects: Fingerprints known to be suspect, ahead of the view.
-        heard_suspects: Time until which another entry's word of a suspect
-            counts, by fingerprint.
-        reported: Death reports by upstream key.
+        request_ids_by_key: Request id by (workspace, idempotency key).
+        running_calls: Digest and future of non-idempotent calls that run
+            here, by (workspace, key).
+        local_suspects: Fingerprints of suspects in deaths that this entry
+            reported, ahead of the view.
+        peer_suspects: Expiry time of suspects that other entries reported, by
+            fingerprint.
+        death_reports: Death reports by upstream key.
         copies: Requests held for other entries, by request id.
-        news_links: Links to other entries.
+        peer_links: Links to other entries, by address.
         pool: Connections to upstreams for calls.
-        session: Client for moving caches between upstreams.
+        session: HTTP client that moves caches between upstreams.
         metrics: Counters and histograms.
         control: Client of the control group.
         start_request: Starts to run a request that was taken over.
-        speeds: Tokens a second that a slot gives, learnt, by upstream name.
-        usage: Slot milliseconds by instance and workspace since the start.
-        tasks: Background tasks that have to be held on to.
+        slot_speeds: Measured tokens per second of a slot, by upstream name.
+        slot_usage_ms: Slot milliseconds by instance and workspace since the
+            start.
+        tasks: Background tasks, referenced so that they are not collected.
     """
 
     def __init__(
@@ -109,27 +112,27 @@
 
     @property
     def inventory(self) -> inventories.Inventory | None:
-        """The configuration in force here."""
+        """Configuration in force at this entry, if any."""
         return self.view.get("configuration", {}).get("inventory")
 
     @property
     def revision(self) -> int:
-        """Revision of the configuration in force here."""
+        """Revision of the configuration in force at this entry."""
         return self.view.get("configuration", {}).get("revision", 0)
 
     @property
     def accepts_work(self) -> bool:
-        """Whether new work may be accepted right now."""
+        """Whether the lease and the configuration allow new work."""
         return self.now() < self.lease_expires_at and self.inventory is not None
 
     @property
     def moves(self) -> dict[str, Any]:
-        """Versions and moves."""
+        """Versions of upstreams and moves between them."""
         return self.view.get("moves", {})
 
     @property
     def peers(self) -> dict[str, Any]:
-        """Other entries that are not gone, by id."""
+        """Other entries in the view, by id."""
         entries = self.view.get("entries", {})
         return {name: row for name, row in entries.items() if name != self.name}
 
@@ -156,7 +159,7 @@
     def record_usage(
         self, instance: str, workspace: str, seconds: float
     ) -> None:
-        """Adds time that a workspace held a slot of an instance."""
+        """Adds time for which a workspace occupied a slot of an instance."""
         usage_by_workspace = self.slot_usage_ms.setdefault(instance, {})
         used_ms = int(seconds * clock.MS_PER_S)
         usage_by_workspace[workspace] = (
@@ -164,11 +167,11 @@
         )
 
     def slot_speed(self, name: str) -> float:
-        """Returns the tokens a second that a slot of an upstream gives."""
+        """Returns the estimated tokens per second of a slot of an upstream."""
         return self.slot_speeds.get(name, INITIAL_TOKENS_PER_S)
 
     def update_slot_speed(self, name: str, tokens: int, seconds: float) -> None:
-        """Notes how fast one attempt was."""
+        """Updates the moving average of a slot's speed with one attempt."""
         if tokens < MIN_TOKENS_FOR_SPEED or seconds <= 0:
             return
         speed = self.slot_speed(name)
@@ -177,12 +180,12 @@
         )
 
     def track_task(self, task: asyncio.Future) -> None:
-        """Keeps a background task alive until it is done."""
+        """Keeps a reference to a background task until it is done."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tells whether a request ran where an upstream died."""
+        """Returns whether a request is suspected of crashing an upstream."""
         view_suspects = self.view.get("quarantine", {}).get("suspects", ())
         peer_suspect_until = self.peer_suspects.get(fingerprint, 0.0)
         if peer_suspect_until > self.now():
@@ -192,7 +195,7 @@
         )
 
     def convicted_until_ms(self, fingerprint: str) -> int:
-        """Returns until when a request is refused, zero if it is not."""
+        """Returns when a conviction ends, zero if there is none."""
         convicted = self.view.get("quarantine", {}).get("convicted", {})
         until_ms = convicted.get(fingerprint, 0)
         now_ms = self.wall() * clock.MS_PER_S
--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One whole exchange with a plain service."""
+"""One complete HTTP exchange with a service."""
 
 import dataclasses
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 
 class Order(NamedTuple):
-    """What to send.
+    """A call to send.
 
     Attributes:
         address: ``IP:port`` of the upstream.
@@ -26,8 +26,8 @@
         body: Body.
         request_id: Id of the call.
         attempt_id: Id of this attempt.
-        key: Idempotency key to pass on, or empty.
-        priority: Passed on.
+        key: Idempotency key to forward, or empty.
+        priority: Priority to forward.
         echo: Whether the upstream echoes ids.
     """
 
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """A whole answer to this very attempt."""
+    """A complete answer to this attempt."""
 
     status: int
     content_type: str
@@ -54,14 +54,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotOpened:
-    """No connection opened: the upstream cannot have seen the call."""
+    """No connection opened, so the upstream cannot have received the call."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The call may have reached the upstream; there is no whole answer."""
+    """No complete answer; the call may have reached the upstream."""
 
     reason: str
 
@@ -72,14 +72,14 @@
 async def run(
     pool: pools.Pool, order: Order, *, timeout_s: float, fresh: bool
 ) -> Result:
-    """Sends one call and reads its whole answer.
+    """Sends one call and reads its complete answer.
 
     Args:
         pool: Connections to upstreams.
-        order: What to send.
-        timeout_s: Time for all of it.
-        fresh: Whether the call needs a connection that was never used, which
-            cannot be silent from an earlier use.
+        order: The call.
+        timeout_s: Time for the whole exchange.
+        fresh: Whether to open a new connection, since a pooled one may have
+            gone dead after its last use.
     """
     deadline = clock.monotonic() + timeout_s
     if fresh:
@@ -110,7 +110,7 @@
     order: Order,
     deadline: float,
 ) -> Result:
-    """Collects a whole answer whose end can be told from a cut."""
+    """Reads an answer whose end can be told from a broken connection."""
     body = bytearray()
     while True:
         body += exchange.take()
@@ -138,7 +138,7 @@
 
 
 def encode_request(order: Order) -> bytes:
-    """Returns the bytes of a call."""
+    """Returns the HTTP/1.1 request bytes of a call."""
     target = yarl.URL(f"http://{order.address}{order.path}").raw_path_qs
     headers = {
         "Host": order.address,
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -1,4 +1,4 @@
-"""Runs one model request over as many attempts as it takes."""
+"""Runs one model request, in as many attempts as it needs."""
 
 import asyncio
 import uuid
@@ -27,11 +27,11 @@
     Attributes:
         entry: The entry it runs in.
         request: The request.
-        avoid: Keys of upstreams that failed it.
-        declined: Attempts that were answered with an error.
-        again: Row to try once more on a new connection, or None.
-        free_retry: Whether the next attempt is not charged to the budget.
-        ticket: Its place in the queue, before the first attempt.
+        avoid: Keys of upstreams on which an attempt failed.
+        declined_attempts: Attempts that were answered with an error.
+        row_to_retry: Upstream to try once more on a new connection, or None.
+        budget_exempt: Whether the next attempt is not charged to the budget.
+        ticket: Its queue ticket, before the first attempt.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
     Args:
         entry: The entry.
         request: The request.
-        ticket: Its place in the queue.
+        ticket: Its queue ticket.
     """
     state = RunState(entry=entry, request=request, ticket=ticket)
     entry.retry_budget_for(request.upstream).deposit()
@@ -156,7 +156,7 @@
 async def _run_or_move(
     state: RunState, row: upstreams.Row, on_events: attempts.Feed
 ) -> attempts.Result:
-    """Runs the attempt, or stops it once its work was moved elsewhere."""
+    """Runs the attempt, or stops it once a move was requested."""
     entry, request = state.entry, state.request
     attempt = asyncio.ensure_future(
         attempts.run(_order(state, row), _attempt_deadlines(entry), on_events)
@@ -207,7 +207,7 @@
 async def _handle_result(
     state: RunState, row: upstreams.Row, result: attempts.Result
 ) -> None:
-    """Decides what an attempt's result means for the request."""
+    """Ends the request or prepares its next attempt."""
     entry, request = state.entry, state.request
     if isinstance(result, attempts.Completed):
         request.answer.finish()
@@ -221,7 +221,7 @@
     if not died and request.fingerprint in row.broken:
         row.broken.discard(request.fingerprint)
         row.spared[request.fingerprint] = entry.now()
-    # Work lost with its upstream is no sign of overload.
+    # An attempt lost with its upstream is no sign of overload.
     state.budget_exempt = died or _left_on_notice(state, row, result)
     if blamed == request.fingerprint:
         until_ms = entry.convicted_until_ms(request.fingerprint)
@@ -239,8 +239,8 @@
         return
     silent = isinstance(result, attempts.Silent)
     if silent and row.key not in state.avoid:
-        # The connection may be at fault rather than the upstream, whose
-        # cache is warm: try it once more before any other.
+        # The connection may be at fault rather than the upstream. Its cache
+        # is warm, so it is tried once more before any other.
         state.row_to_retry = row
     if isinstance(result, attempts.NotConnected):
         row.failed_at = state.entry.now()
@@ -293,7 +293,7 @@
 ) -> None:
     entry, request = state.entry, state.request
     if _left_on_notice(state, row, result):
-        return  # a reclaim is not the version's fault
+        return  # a reclaimed instance says nothing about the version
     if isinstance(result, attempts.NotConnected):
         return
     assigned, previous = versions.pick(
@@ -316,7 +316,7 @@
 def _count_recomputed_tokens(
     state: RunState, result: attempts.Result, events_before: int
 ) -> None:
-    """Counts prompt and delivered tokens that a later attempt read anew."""
+    """Counts prompt and delivered tokens that a later attempt recomputed."""
     request = state.request
     if request.attempts <= 1 or isinstance(result, attempts.NotConnected):
         return
--- a/src/_arbutuswalk/entry/http.py
+++ b/src/_arbutuswalk/entry/http.py
@@ -1,4 +1,4 @@
-"""Small helpers over ASGI: bodies, headers, problem documents."""
+"""ASGI helpers: bodies, headers, tokens and problem documents."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 def headers_of(scope: dict[str, Any]) -> dict[str, str]:
-    """Returns headers by lower-case name."""
+    """Returns the headers of a request by lower-case name."""
     return {
         name.decode("latin-1"): value.decode("latin-1")
         for name, value in scope["headers"]
@@ -29,7 +29,7 @@
 
 
 async def read_body(receive: Receive) -> bytes | answer.Problem:
-    """Reads a whole request body within limits."""
+    """Reads a request body, limited in size and time."""
     parts, size = [], 0
     try:
         async with asyncio.timeout(BODY_TIMEOUT_S):
@@ -66,7 +66,7 @@
 
 
 def problem_json(problem: answer.Problem) -> bytes:
-    """Returns the problem document's bytes."""
+    """Returns a problem document as JSON."""
     document = {
         "type": "about:blank",
         "title": problem.title,
@@ -82,7 +82,7 @@
 def authenticate(
     entry: entry_state.Entry, headers: dict[str, str]
 ) -> inventories.Workspace | answer.Problem:
-    """Returns the workspace that the bearer token names."""
+    """Returns the workspace of the bearer token."""
     scheme, _, token = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not token:
         detail = "send Authorization: Bearer with the workspace's token"
@@ -96,7 +96,7 @@
 
 
 def lease_problem(entry: entry_state.Entry) -> answer.Problem | None:
-    """Returns the refusal of an entry that may not take new work."""
+    """Returns a refusal if the entry may not accept new work."""
     if entry.accepts_work:
         return None
     peer_addresses = [row["address"] for row in entry.peers.values()]
--- a/src/_arbutuswalk/entry/link_handler.py
+++ b/src/_arbutuswalk/entry/link_handler.py
@@ -1,4 +1,4 @@
-"""What an entry answers on its link: other entries and operators."""
+"""Handles messages that other entries and operators send to an entry."""
 
 import json
 from typing import Any
@@ -46,7 +46,7 @@
 
 
 async def _relay(entry: entry_state.Entry, message: object) -> object:
-    """Passes a message of a cut-off entry on to the control group."""
+    """Forwards a message to the control group for a partitioned entry."""
     reply = await entry.control.call(
         message, timeout_s=RELAY_TIMEOUT_S, relayed=True
     )
@@ -71,7 +71,7 @@
 
 
 def dump_state(entry: entry_state.Entry) -> dict[str, Any]:
-    """Returns the process's state as JSON values."""
+    """Returns the state of the process as JSON values, for operators."""
     now = entry.now()
     return {
         "role": "entry",
--- a/src/_arbutuswalk/entry/main.py
+++ b/src/_arbutuswalk/entry/main.py
@@ -1,4 +1,4 @@
-"""``arbutuswalk-entry``: one entry process."""
+"""``arbutuswalk-entry``: runs one entry process."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 from _arbutuswalk.wire import link
 
 UPSTREAM_IDLE_TIMEOUT_S = 4.0
-"""How long an idle pooled connection to an upstream is kept."""
+"""How long an idle connection to an upstream is kept for reuse."""
 CALLER_IDLE_TIMEOUT_S = 75
 STATE_COMMAND_TIMEOUT_S = 3.0
 LISTEN_BACKLOG = 2048
@@ -50,7 +50,7 @@
     settings.Field("resume_grace_s", "seconds", settings.is_positive, 5.0),
     settings.Field(
         "drain_s",
-        "seconds that callers who know the address may still come",
+        "seconds for which new requests are still accepted in a drain",
         settings.is_positive,
         float(app.ENTRIES_TTL_S),
     ),
@@ -60,7 +60,7 @@
 
 
 class Server(uvicorn.Server):
-    """A server that leaves signals to the process."""
+    """A server that leaves signal handling to the process."""
 
     @contextlib.contextmanager
     def capture_signals(self):
@@ -152,10 +152,10 @@
 
 
 async def _drain(entry: entry_state.Entry) -> None:
-    """Leaves the list at once, then serves out what it has.
+    """Removes the entry from the list and completes running requests.
 
-    Callers keep the list for its time to live, so new requests are taken
-    that long.
+    Callers cache the list of entries for its time to live, so new requests
+    are accepted for that long.
     """
     entry.draining = True
     events.log(events.Event.PROCESS_DRAINING, "entry", entry.name)
--- a/src/_arbutuswalk/entry/maintenance.py
+++ b/src/_arbutuswalk/entry/maintenance.py
@@ -1,4 +1,4 @@
-"""Systems that run over an entry's tables each tick."""
+"""Periodic maintenance of an entry's state."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 async def run(entry: entry_state.Entry) -> None:
-    """Runs every system each tick until cancelled."""
+    """Runs all maintenance steps at each tick until cancelled."""
     had_lease = False
     while True:
         await asyncio.sleep(TICK_INTERVAL_S)
@@ -42,7 +42,7 @@
 
 
 def _cancel_unread_requests(entry: entry_state.Entry) -> None:
-    """Cancels requests whose callers went away and did not come back."""
+    """Cancels requests whose callers disconnected and did not resume."""
     unread_before = entry.now() - entry.settings["resume_grace_s"]
     for request in entry.requests.values():
         unread_since = request.unread_since
@@ -58,7 +58,7 @@
 
 
 def _expire_answers(entry: entry_state.Entry) -> None:
-    """Forgets ended requests that can no longer be resumed."""
+    """Drops ended requests that can no longer be resumed."""
     unread_before = entry.now() - ANSWER_RETENTION_S
     for request_id, request in list(entry.requests.items()):
         unread_since = request.unread_since
@@ -75,7 +75,7 @@
 
 
 def _take_over_orphaned_copies(entry: entry_state.Entry) -> None:
-    """Finishes the requests of entries that are gone."""
+    """Takes over the unfinished requests of entries that are gone."""
     if not entry.accepts_work:
         return
     for request_id in request_copies.orphaned_request_ids(entry):
--- a/src/_arbutuswalk/entry/models.py
+++ b/src/_arbutuswalk/entry/models.py
@@ -1,4 +1,4 @@
-"""Callers' model routes: admission, resends, resumption."""
+"""Model routes: admission, resends and resumption of requests."""
 
 import asyncio
 from typing import Any
@@ -19,7 +19,8 @@
 
 MAX_TRACKED_REQUESTS = 20_000
 TAKEN_OVER_GRACE_S = 55.0
-"""How much longer than other orphans an adopted request is kept running."""
+"""Added to the time for which a request without readers keeps running, for
+requests taken over from another entry."""
 
 
 class ModelRoute:
@@ -60,7 +61,7 @@
     async def _admit(
         self, headers: dict[str, str], raw: bytes
     ) -> tuple[requests.ModelRequest, int, bool] | answer.Problem:
-        """Returns the request to deliver and from which event on."""
+        """Returns the request, the first event to send and whether to reset."""
         entry = self.entry
         workspace = http.authenticate(entry, headers)
         if isinstance(workspace, answer.Problem):
@@ -92,7 +93,7 @@
         workspace: inventories.Workspace,
         options: requests.RequestOptions,
     ) -> tuple[requests.ModelRequest, int, bool] | answer.Problem | None:
-        """Finds the request that a resend or a resumption speaks of."""
+        """Returns the request that a resend or a resumption refers to."""
         entry = self.entry
         last_event = None
         if "last-event-id" in headers:
@@ -116,8 +117,8 @@
             return existing, 0, last_event is not None
         position = last_event[1] + 1
         if position > len(existing.answer.events):
-            # More was delivered than this entry has: the generation the
-            # caller saw is lost, and two must never be spliced.
+            # The caller received more events than this entry has: that
+            # generation is lost, and two generations must not be mixed.
             return existing, 0, True
         return existing, position, False
 
@@ -181,7 +182,7 @@
 
 
 def start(entry: entry_state.Entry, request: requests.ModelRequest) -> None:
-    """Makes a request known and starts to run it."""
+    """Registers a request and starts to run it."""
     entry.requests[request.request_id] = request
     if request.key:
         entry.request_ids_by_key[request.workspace, request.key] = (
@@ -195,7 +196,7 @@
 def start_task(
     entry: entry_state.Entry, request: requests.ModelRequest
 ) -> None:
-    """Runs a request in a task of its own."""
+    """Queues a request and runs it in its own task."""
     ticket = placement.enqueue(entry, request)
     request.task = asyncio.ensure_future(_run_request(entry, request, ticket))
 
@@ -208,7 +209,7 @@
     try:
         await execution.run(entry, request, ticket)
     except Exception as error:  # noqa: BLE001
-        # A fault of ours must not leave the caller without an answer.
+        # An internal error must not leave the caller without an answer.
         events.warn(events.Event.TASK_FAILED, request.request_id, repr(error))
     finally:
         if not request.answer.ended:
@@ -236,10 +237,10 @@
     key: str,
     last_event: tuple[str, int] | None = None,
 ) -> requests.ModelRequest | None:
-    """Returns a known request by event id or key, of this workspace only.
+    """Returns a known request of the workspace by event id or key.
 
-    A request that failed without an answer is forgotten here, so that a
-    resend of it is run.
+    A request that failed is not returned for its key, so that a resend of it
+    runs.
     """
     request_id = (
         last_event[0]
--- a/src/_arbutuswalk/entry/peer_updates.py
+++ b/src/_arbutuswalk/entry/peer_updates.py
@@ -1,4 +1,4 @@
-"""News that entries pass on to each other at once, ahead of control."""
+"""Updates that entries send each other directly, ahead of the view."""
 
 import json
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 def tell_others(entry: entry_state.Entry, update: dict[str, Any]) -> None:
-    """Passes news on to every other entry."""
+    """Sends an update to every other entry."""
     message = ttypes.UpstreamNews(announcements=[json.dumps(update).encode()])
     for peer in entry.peers.values():
         entry.link_to(peer["link_address"]).post(message)
--- a/src/_arbutuswalk/entry/placement.py
+++ b/src/_arbutuswalk/entry/placement.py
@@ -1,4 +1,4 @@
-"""Placing requests on upstreams: fair queues and early refusals."""
+"""Places requests on upstreams: fair queues and early refusals."""
 
 import asyncio
 from typing import NamedTuple
@@ -21,7 +21,7 @@
     Attributes:
         request: The request.
         avoid: Keys of upstreams to avoid.
-        future: Gets the row, reserved for the request.
+        future: Resolves to the upstream, with a slot reserved.
     """
 
     request: requests.ModelRequest
@@ -32,7 +32,7 @@
 def candidates(
     entry: entry_state.Entry, name: str, route: str, request_id: str
 ) -> list[upstreams.Row]:
-    """Returns the upstreams that may run a request, by its version."""
+    """Returns the upstreams of the version assigned to a request."""
     rows = upstreams.usable(entry.upstreams, name, entry.now())
     assigned, fallback = versions.pick(entry.moves, name, route, request_id)
     cut_off = evidence.Side(name, assigned, route) in entry.evidence.cut
@@ -48,9 +48,9 @@
 ) -> answer.Problem | None:
     """Refuses a new request whose deadline cannot be met.
 
-    The estimate counts what its workspace has waiting and the share that
-    others get meanwhile. A request waits while all upstreams are reserved for
-    suspects.
+    The estimate counts the waiting work of its workspace and the share that
+    other workspaces receive in the meantime. A request is queued, not
+    refused, while all upstreams are reserved for suspects.
     """
     rows = candidates(
         entry, request.upstream, request.route, request.request_id
@@ -91,10 +91,10 @@
     *,
     avoid: frozenset[str] = frozenset(),
 ) -> fair.Ticket:
-    """Puts a request into its queue and places what can be placed.
+    """Adds a request to its queue and places waiting requests.
 
-    A new request is put there when it is accepted, so that those which come
-    at the same moment see it before them.
+    A new request is queued when it is accepted, so that the estimates of
+    concurrent requests include it.
     """
     future = asyncio.get_running_loop().create_future()
     ticket = _make_ticket(request, QueuedRequest(request, avoid, future))
@@ -108,7 +108,7 @@
     request: requests.ModelRequest,
     ticket: fair.Ticket,
 ) -> upstreams.Row | None:
-    """Waits for an upstream; None when the deadline passes first."""
+    """Waits for an upstream; None if the deadline passes first."""
     future = ticket.payload.future
     try:
         left_s = request.deadline - entry.now()
@@ -123,7 +123,7 @@
 
 
 def leave_queue(entry: entry_state.Entry, ticket: fair.Ticket) -> None:
-    """Takes a request out of its queue, or gives its place back."""
+    """Removes a request from its queue, or releases its reservation."""
     ticket.cancelled = True
     queued = ticket.payload
     if queued.future.done() and not queued.future.cancelled():
@@ -131,7 +131,7 @@
 
 
 def place_queued(entry: entry_state.Entry, name: str) -> None:
-    """Places whatever waits for an upstream name, in fair order."""
+    """Places waiting requests of an upstream name in fair order."""
     entry.queue_for(name).serve(lambda ticket: _try_to_place(entry, ticket))
 
 
@@ -152,7 +152,7 @@
 
 
 def reserve(row: upstreams.Row, request: requests.ModelRequest) -> None:
-    """Counts a request on an upstream."""
+    """Reserves a slot of an upstream for a request."""
     row.sent += 1
     row.active[request.request_id] = None
     row.index.note(request.features.blocks)
@@ -161,7 +161,7 @@
 def release(
     entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> None:
-    """Ends a reservation and places what waited for it."""
+    """Ends a reservation and places waiting requests."""
     row.ended += 1
     row.active.pop(request.request_id, None)
     place_queued(entry, row.name)
--- a/src/_arbutuswalk/entry/request_copies.py
+++ b/src/_arbutuswalk/entry/request_copies.py
@@ -1,9 +1,9 @@
 """Copies of accepted requests at a peer entry in another failure domain.
 
 The owner sends the request when it accepts it, and events in batches as they
-come. If the owner dies, whoever holds the copy, or is asked for it by a
-caller, goes on from the events it has. A caller that had seen more than was
-copied gets the answer from the start after a reset event.
+arrive. If the owner dies, the holder of the copy, or the entry at which a
+caller resumes, continues from the copied events. A caller that received more
+events than were copied gets the answer from the start after a reset event.
 """
 
 import asyncio
@@ -29,11 +29,11 @@
 
     Attributes:
         owner: Entry that runs it.
-        incarnation: Its incarnation.
+        incarnation: Incarnation of the owner.
         request: JSON form of the request.
         events: Events copied so far.
-        finished: Whether the answer is whole.
-        at: When something last came, in seconds.
+        finished: Whether the answer is complete.
+        updated_at: When the copy was last updated, in seconds.
     """
 
     owner: str
@@ -75,7 +75,7 @@
 def start_copying(
     entry: entry_state.Entry, request: requests.ModelRequest
 ) -> None:
-    """Sends a copy of an accepted request and then of its events."""
+    """Starts to copy an accepted request and its events to the holder."""
     holder = copy_holder_of(entry, entry.name, request.request_id)
     if holder is None:
         entry.metrics.count("requests_not_copied")
@@ -124,7 +124,7 @@
 def send_final_events(
     entry: entry_state.Entry, request: requests.ModelRequest
 ) -> None:
-    """Tells the peer that the request has ended, whole or failed."""
+    """Sends the last events and whether the request failed."""
     holder = copy_holder_of(entry, entry.name, request.request_id)
     if holder is None:
         return
@@ -135,7 +135,7 @@
 def on_copy_request(
     entry: entry_state.Entry, message: ttypes.CopyRequest
 ) -> ttypes.Done:
-    """Holds a copy for another entry."""
+    """Stores a copy for another entry."""
     if len(entry.copies) >= MAX_COPIES:
         return ttypes.Done(ok=False)
     entry.copies[message.request_id] = RequestCopy(
@@ -166,7 +166,7 @@
 
 
 def expire(entry: entry_state.Entry) -> None:
-    """Forgets copies that nobody can need any more."""
+    """Drops copies that were not updated within the retention time."""
     expiry = entry.now() - COPY_RETENTION_S
     for request_id, copy in list(entry.copies.items()):
         if copy.updated_at < expiry:
@@ -174,7 +174,7 @@
 
 
 def orphaned_request_ids(entry: entry_state.Entry) -> list[str]:
-    """Returns copies that are unfinished and whose owner is gone."""
+    """Returns ids of unfinished copies whose owner is gone."""
     entries = entry.view.get("entries")
     if entries is None:
         return []
@@ -192,10 +192,10 @@
 async def fetch_and_take_over(
     entry: entry_state.Entry, request_id: str, workspace: str
 ) -> requests.ModelRequest | None:
-    """Takes over a request whose events a caller wants, if it can be found.
+    """Takes over a request that a caller resumes, if it can be found.
 
-    Asks the owner first, then the peer that holds the copy. What they have
-    is copied here, and a generation that is still to come goes on here.
+    Asks the owner first, then the holder of the copy. The events they have
+    are copied, and an unfinished generation continues here.
     """
     if request_id not in entry.copies:
         await _fetch_copy(entry, request_id)
@@ -231,10 +231,10 @@
 def on_take_request(
     entry: entry_state.Entry, message: ttypes.TakeRequest
 ) -> ttypes.TakeReply:
-    """Hands a request to the entry where its caller now is.
+    """Hands a request over to the entry at which its caller resumes.
 
-    A request that runs here stops here: it goes on over there, and two
-    generations of it would cost twice.
+    A request that runs here is cancelled, because it continues there and a
+    second generation would double its cost.
     """
     request = entry.requests.get(message.request_id)
     if request is not None:
@@ -257,7 +257,7 @@
 def take_over(
     entry: entry_state.Entry, request_id: str
 ) -> requests.ModelRequest:
-    """Makes a copy into a request of this entry, and runs what is left."""
+    """Turns a copy into a request of this entry and runs the rest of it."""
     copy = entry.copies.pop(request_id)
     request = _request_from_json(entry, request_id, copy.request)
     request.answer.add(copy.events)
--- a/src/_arbutuswalk/entry/requests.py
+++ b/src/_arbutuswalk/entry/requests.py
@@ -1,4 +1,4 @@
-"""Model requests: parsing, checks, and the entity that runs."""
+"""Model requests: parsing, validation and state."""
 
 import asyncio
 import json
@@ -21,11 +21,11 @@
 
 
 class RequestOptions(NamedTuple):
-    """What the headers ask for.
+    """Options that a caller sets by headers.
 
     Attributes:
         key: Idempotency key, or empty.
-        deadline_s: Seconds the caller will wait.
+        deadline_s: Seconds for which the caller waits.
         priority: From 0, most urgent, to 9.
     """
 
@@ -35,33 +35,33 @@
 
 
 class ModelRequest:
-    """A model request on its way through the entry.
+    """A model request that an entry has accepted.
 
     Attributes:
         request_id: Id, which names the entry that accepted it.
-        workspace: Who asks.
-        weight: The workspace's share.
+        workspace: Name of the caller's workspace.
+        weight: Fair-queue weight of the workspace.
         key: Idempotency key, or empty.
         digest: Digest of the body.
-        fingerprint: What quarantine knows it by.
+        fingerprint: Identifies the request in the quarantine.
         upstream: Name of the upstream, which is the model.
         route: ``chat`` or ``completions``.
         body: Parsed JSON body.
-        streamed: Whether the caller wants events.
-        features: What routing goes by.
-        max_tokens: Most tokens it may generate.
-        deadline: When the caller stops to wait, in seconds.
-        priority: Passed on to the engine.
+        streamed: Whether the caller asked for a stream of events.
+        features: Input of the routing decision.
+        max_tokens: Maximum number of tokens to generate.
+        deadline: When the caller stops waiting, in seconds.
+        priority: Priority forwarded to the engine.
         accepted_at: When it was accepted, in seconds.
-        answer: Its answer as it grows.
+        answer: Its answer so far.
         attempts: Attempts sent so far.
         sent: Whether any byte may have reached an upstream.
-        copied: Events that the peer entry has.
-        isolation: Id of the upstream reserved for it, or empty.
-        move: Set to make the running attempt go elsewhere.
-        history: Why it went where it went, for ``explain``.
+        copied_events: Number of events copied to the peer entry.
+        isolated_upstream: Id of the upstream reserved for it, or empty.
+        move_requested: Set to move the running attempt to another upstream.
+        history: Attempts and their ends, for ``explain``.
         task: The task that runs it.
-        orphaned_at: Since when nobody reads it, or None.
+        unread_since: When its last reader left, in seconds, or None.
     """
 
     def __init__(
@@ -105,17 +105,17 @@
 
     @property
     def cost(self) -> int:
-        """Estimated tokens the request takes."""
+        """Estimated cost in tokens."""
         return self.features.prompt_tokens // 8 + self.max_tokens
 
     @property
     def remaining_tokens(self) -> int:
-        """Most tokens that are still to come."""
+        """Maximum number of tokens still to be generated."""
         return max(0, self.max_tokens - len(self.answer.events))
 
 
 def new_request_id(entry: str) -> str:
-    """Returns an id that tells which entry accepted the request."""
+    """Returns a request id that names the entry that accepted it."""
     return f"{entry}~{uuid.uuid4().hex[:16]}"
 
 
@@ -125,12 +125,12 @@
 
 
 def fingerprint(workspace: str, route: str, digest: str) -> str:
-    """Returns what quarantine knows a request by."""
+    """Returns the value that identifies a request in the quarantine."""
     return inventories.digest(f"{workspace}|{route}|{digest}")[:32]
 
 
 def prompt_of(body: dict[str, Any]) -> str:
-    """Returns the text that prefix caching goes by."""
+    """Returns the prompt text that prefix caching is keyed on."""
     if "prompt" in body:
         return body["prompt"]
     return "\n".join(
@@ -140,7 +140,7 @@
 
 
 def parse_body(raw: bytes, route: str) -> dict[str, Any] | answer.Problem:
-    """Parses and checks a completion body."""
+    """Parses and validates a completion body."""
     try:
         body = json.loads(raw)
     except (ValueError, RecursionError) as error:
@@ -206,5 +206,5 @@
 
 
 def refusal(title: str, detail: str, status: int = 400) -> answer.Problem:
-    """Returns a refusal of bad input; it was certainly not run."""
+    """Returns a refusal of a request that was certainly not run."""
     return answer.Problem(status, title, detail, "no")
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -1,4 +1,4 @@
-"""Callers' routes to plain services, repeatable or not."""
+"""Routes of callers to services, idempotent or not."""
 
 import asyncio
 import uuid
@@ -28,11 +28,11 @@
 
 
 class ServiceCall(NamedTuple):
-    """A checked call to a plain service.
+    """A validated call to a service.
 
     Attributes:
         call_id: Id of the call.
-        workspace: Who asks.
+        workspace: Name of the caller's workspace.
         upstream: The service, from the inventory.
         route: The route, from the inventory.
         method: HTTP method.
@@ -40,8 +40,8 @@
         headers: Headers to forward.
         body: Body to forward.
         key: Idempotency key, or empty.
-        deadline: When the caller stops to wait, in seconds.
-        priority: Passed on.
+        deadline: When the caller stops waiting, in seconds.
+        priority: Priority to forward.
     """
 
     call_id: str
@@ -58,7 +58,7 @@
 
 
 class ServiceRoute:
-    """ASGI endpoint for all plain services."""
+    """ASGI endpoint of all services."""
 
     def __init__(self, *, entry: entry_state.Entry):
         self.entry = entry
@@ -90,7 +90,7 @@
     async def _run(self, call: ServiceCall) -> exchange.Reply | answer.Problem:
         if call.route["repeatable"]:
             return await _run_repeatable(self.entry, call)
-        # A call that may have begun runs to its end, whoever still listens.
+        # A started call runs to its end even if the caller disconnects.
         task = asyncio.ensure_future(calls.run_once(self.entry, call))
         self.entry.track_task(task)
         return await asyncio.shield(task)
@@ -99,7 +99,7 @@
 def check_call(
     entry: entry_state.Entry, scope: dict[str, Any], body: bytes
 ) -> ServiceCall | answer.Problem:
-    """Checks a call against the configuration in force."""
+    """Validates a call against the configuration in force."""
     headers = http.headers_of(scope)
     problem = http.lease_problem(entry)
     if problem is not None:
@@ -155,7 +155,7 @@
 def choose_upstream(
     entry: entry_state.Entry, call: ServiceCall, avoid: frozenset[str]
 ) -> upstreams.Row | None:
-    """Returns the upstream for the next attempt, or None if all are full."""
+    """Returns the upstream for the next attempt, or None if none is free."""
     rows = placement.candidates(
         entry, call.upstream["name"], call.route["name"], call.call_id
     )
@@ -166,7 +166,7 @@
 async def _run_repeatable(
     entry: entry_state.Entry, call: ServiceCall
 ) -> exchange.Reply | answer.Problem:
-    """Runs a repeatable call, again elsewhere when it fails."""
+    """Runs an idempotent call, retrying on other upstreams."""
     budget = entry.retry_budget_for(call.upstream["name"])
     budget.deposit()
     avoid: set[str] = set()
@@ -211,8 +211,8 @@
 ) -> upstreams.Row | None:
     """Waits for an upstream with a free slot; None at the deadline.
 
-    Does not wait at all when no upstream of that name is up: the caller is
-    told to come back.
+    Returns None immediately if no upstream of that name is up, so that the
+    caller can be told to retry later.
     """
     while entry.now() < call.deadline:
         row = choose_upstream(entry, call, avoid)
@@ -257,7 +257,7 @@
 
 
 def make_order(call: ServiceCall, row: upstreams.Row) -> exchange.Order:
-    """Returns what to send to an upstream."""
+    """Returns the order that sends a call to an upstream."""
     return exchange.Order(
         address=row.said["address"],
         method=call.method,
@@ -279,7 +279,7 @@
     result: exchange.Result,
     latency_s: float,
 ) -> None:
-    """Notes how a version did on a route, unless it was being reclaimed."""
+    """Records the outcome of a call by version, unless its upstream leaves."""
     leaving = row.health(entry.now()) is upstreams.Health.LEAVING
     if leaving or isinstance(result, exchange.NotOpened):
         return
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -1,4 +1,4 @@
-"""An entry's part in finding requests that crash upstreams."""
+"""Detects upstream deaths and isolates requests suspected of causing them."""
 
 import asyncio
 
@@ -16,32 +16,32 @@
 
 PROBE_TIMEOUT_S = 0.5
 PROBE_INTERVAL_S = 0.01
-"""Pause between probes of an upstream that accepts and does not answer."""
+"""Interval between probes of an upstream that accepts but does not answer."""
 PROBE_REQUEST = b"HEAD / HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
 REPORT_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.05
 EXCLUSIVE_TIMEOUT_S = 3.0
 PEER_SUSPECT_TTL_S = 2.0
-"""How long another entry's word of a suspect counts: longer than a report
-takes to be committed and to show in every view."""
+"""How long a suspect reported by another entry counts. This is longer than a
+report takes to be committed and to reach every view."""
 MAX_ISOLATED_FRACTION = 0.34
-"""Part of an upstream name's instances that suspects may hold at a time."""
+"""Maximum fraction of an upstream name's instances reserved for suspects."""
 _REFUSED, _ANSWERED, _NO_ANSWER = "refused", "open", "no answer"
 
 
 async def is_dead(entry: entry_state.Entry, row: upstreams.Row) -> bool:
-    """Tells whether an upstream's process is gone.
+    """Returns whether an upstream's process is gone.
 
-    A refused connection proves it, and so does a newer incarnation. Where
-    nothing answers at all, only silence towards every entry does: this entry
-    alone may be cut off.
+    A refused connection or a newer incarnation proves it. If the probe gets
+    no answer at all, the upstream counts as dead only once its announcements
+    stop at every entry, since this entry alone may be partitioned.
     """
     broke_at = entry.now()
     probe = await _probe(row.said["address"])
     if probe == _REFUSED:
         return True
     if probe == _ANSWERED and not row.isolated:
-        return _is_replaced(entry, row)  # by a newer incarnation
+        return _is_replaced(entry, row)  # has a newer incarnation
     if probe == _ANSWERED:
         return await _was_restarted(entry, row, broke_at)
     while entry.now() - row.heard_at < upstreams.SUSPECT_AFTER_S:
@@ -54,9 +54,9 @@
 async def _was_restarted(
     entry: entry_state.Entry, row: upstreams.Row, broke_at: float
 ) -> bool:
-    """Waits for the next word of an upstream on which a suspect ran.
+    """Waits for the next announcement of an upstream that ran a suspect.
 
-    A process that died and was started again at once answers a probe.
+    A process that died and was restarted immediately answers a probe.
     """
     while entry.now() - broke_at < upstreams.GONE_AFTER_S:
         if _is_replaced(entry, row):
@@ -68,10 +68,10 @@
 
 
 async def _probe(address: str) -> str:
-    """Asks an upstream's HTTP server for any answer at all.
+    """Probes an upstream's HTTP server for any answer.
 
-    A process that is just ending still accepts connections for a moment, so
-    that only an answer shows that it runs.
+    A process that is exiting still accepts connections for a moment, so only
+    an answer proves that it runs.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -86,7 +86,7 @@
 
 
 async def _sends_any_byte(host: str, port: int) -> bool:
-    """Tells whether a new connection brings a byte before it ends."""
+    """Returns whether a new connection yields a byte before it closes."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(PROBE_REQUEST)
@@ -102,7 +102,7 @@
 
 
 async def report_death(entry: entry_state.Entry, row: upstreams.Row) -> str:
-    """Reports an unannounced death once, for all that ran there.
+    """Reports an unannounced death once, with all requests that ran there.
 
     Returns:
         The fingerprint blamed for it, or an empty string.
@@ -117,8 +117,8 @@
 async def _submit_death_report(
     entry: entry_state.Entry, row: upstreams.Row
 ) -> str:
-    # Attempts that broke off before this report was made count as well: the
-    # guilty one need not be the first whose connection was seen to end.
+    # Attempts that broke before this report count as well: the request that
+    # caused the crash need not be the first whose connection ended.
     fingerprints = set(row.broken)
     for request_id in row.active:
         request = entry.requests.get(request_id)
@@ -152,17 +152,17 @@
 def add_peer_suspects(
     entry: entry_state.Entry, fingerprints: list[str]
 ) -> None:
-    """Takes suspects of a death that another entry reports just now.
+    """Records suspects of a death that another entry is reporting.
 
-    Until the report is committed and shows in the view, a resend that comes
-    here would run beside others on a second upstream.
+    Until the report is committed and shows in the view, a resend that arrives
+    here would otherwise share a second upstream with other requests.
     """
     expires_at = entry.now() + PEER_SUSPECT_TTL_S
     entry.peer_suspects |= dict.fromkeys(fingerprints, expires_at)
 
 
 def expire_peer_suspects(entry: entry_state.Entry) -> None:
-    """Forgets suspects whose word from another entry has run out."""
+    """Drops suspects of other entries' reports that have expired."""
     now = entry.now()
     for fingerprint, expires_at in list(entry.peer_suspects.items()):
         if expires_at <= now:
@@ -175,7 +175,7 @@
     *,
     avoid: frozenset[str],
 ) -> upstreams.Row | answer.Problem | None:
-    """Reserves an upstream for a suspect; None when time runs out."""
+    """Reserves an upstream for a suspect; None when the deadline passes."""
     while entry.now() < request.deadline:
         rows = _isolation_candidates(entry, request)
         rows.sort(key=lambda row: (row.key in avoid, row.load))
@@ -196,7 +196,7 @@
 def _isolation_candidates(
     entry: entry_state.Entry, request: requests.ModelRequest
 ) -> list[upstreams.Row]:
-    """Returns upstreams that may be reserved, a part of all at most."""
+    """Returns upstreams that may be reserved, within the maximum fraction."""
     rows = placement.candidates(
         entry, request.upstream, request.route, request.request_id
     )
@@ -209,9 +209,9 @@
 async def _wait_until_exclusive(
     entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> bool:
-    """Waits until no entry runs anything else on a reserved upstream.
+    """Waits until no entry runs another request on a reserved upstream.
 
-    Only then does a second death there prove anything.
+    Otherwise a second death there would not prove which request caused it.
     """
     deadline = entry.now() + EXCLUSIVE_TIMEOUT_S
     try:
@@ -233,10 +233,10 @@
 
 
 def occupied(entry: entry_state.Entry) -> list[str]:
-    """Returns the upstreams on which this entry runs anything.
+    """Returns ids of upstreams that run a request of this entry.
 
-    An attempt that broke off counts until it is known whether its upstream
-    died: its part in a death is still to be told.
+    A broken attempt counts until it is known whether its upstream died, since
+    a death report may still have to name it.
     """
     return [
         identity
@@ -246,7 +246,7 @@
 
 
 def follow_isolations(entry: entry_state.Entry) -> None:
-    """Clears reserved upstreams of this entry's other requests."""
+    """Applies isolations and moves other requests off reserved upstreams."""
     isolations = entry.view.get("quarantine", {}).get("isolations", {})
     for identity, row in entry.upstreams.rows.items():
         row.isolated = isolations.get(identity, "")
@@ -278,7 +278,7 @@
     else:
         request.isolated_upstream = ""
     if isinstance(outcome, outcomes.Stale) and not _is_replaced(entry, row):
-        entry.upstreams.remove(row.said["id"])  # its death is known
+        entry.upstreams.remove(row.said["id"])  # its death is already recorded
     return outcome
 
 
@@ -287,8 +287,8 @@
 ) -> None:
     """Ends the isolation of a request, if it has one.
 
-    After a death the report has ended it already; saying so again is no
-    harm, while one that stays would keep the upstream from everybody.
+    After a death the report has already ended it. Releasing it again is
+    harmless, while an isolation that remained would block the upstream.
     """
     identity, request.isolated_upstream = request.isolated_upstream, ""
     if not identity:
@@ -307,7 +307,7 @@
 def release_isolation_in_background(
     entry: entry_state.Entry, request: requests.ModelRequest
 ) -> None:
-    """Ends the isolation of a request that was cancelled."""
+    """Ends the isolation of a cancelled request in the background."""
     task = asyncio.ensure_future(
         release_isolation(entry, request, cleared=False)
     )
@@ -317,7 +317,7 @@
 def convicted_problem(
     request: requests.ModelRequest, until_ms: int
 ) -> answer.Problem:
-    """Returns the refusal of a request that crashes upstreams."""
+    """Returns the refusal of a request convicted of crashing upstreams."""
     return answer.Problem(
         422,
         "request quarantined",
--- a/src/_arbutuswalk/entry/transfers.py
+++ b/src/_arbutuswalk/entry/transfers.py
@@ -1,4 +1,4 @@
-"""Moving work off an upstream that is leaving, cache first."""
+"""Moves requests off an upstream that is leaving, with their caches."""
 
 import asyncio
 
@@ -17,15 +17,15 @@
 
 
 def start_moving(entry: entry_state.Entry, row: upstreams.Row) -> None:
-    """Starts moving the work that runs on a leaving upstream."""
+    """Starts to move the requests that run on a leaving upstream."""
     events.log(events.Event.UPSTREAM_LEAVING, row.said["id"])
     entry.track_task(asyncio.ensure_future(_request_moves(entry, row)))
 
 
 async def _request_moves(entry: entry_state.Entry, row: upstreams.Row) -> None:
-    """Moves requests, those with most left to do first.
+    """Requests moves, starting with the most remaining tokens.
 
-    A request that will surely end before the upstream goes stays.
+    A request that is expected to end before the upstream leaves is not moved.
     """
     running = [
         entry.requests[request_id]
@@ -51,9 +51,9 @@
 async def export_cache(
     entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> None:
-    """Copies a request's cache to where it will likely go on.
+    """Copies a request's cache to the upstream likely to continue it.
 
-    Failing is no harm: the cache is then computed again.
+    A failure is harmless: the cache is then recomputed.
     """
     left_s = row.leaves_at - entry.now()
     if left_s < LEAVE_MARGIN_S:
--- a/testing/asgi.py
+++ b/testing/asgi.py
@@ -6,7 +6,7 @@
 
 
 class Response(NamedTuple):
-    """A whole response."""
+    """A complete response."""
 
     status: int
     headers: dict
@@ -20,7 +20,11 @@
 async def call(
     app, method, path, *, headers=None, body=b"", disconnect_after=None
 ):
-    """Sends one request; ``leave_at`` disconnects after so many parts."""
+    """Sends one request.
+
+    ``disconnect_after`` is the number of body parts after which the caller
+    disconnects.
+    """
     target, _, query = path.partition("?")
     scope = {
         "type": "http",
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry's HTTP edge: bad input, refusals, streams, resumption."""
+"""HTTP routes of an entry: bad input, refusals, streams and resumption."""
 
 import asyncio
 import json
@@ -29,7 +29,7 @@
 
 
 class Edge:
-    """One entry with fake runners on virtual time."""
+    """One entry with fake runners, on virtual time."""
 
     def __init__(self):
         self.loop = virtual.VirtualLoop()
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -1,4 +1,4 @@
-"""Model requests over failing runners, and framing."""
+"""Model requests over failing runners, event framing and answers."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -13,11 +13,11 @@
 
 
 class TestStreamMachine(stream_machine.StreamMachine.TestCase):
-    """Runs the machine with the profile in force."""
+    """Runs the state machine with the loaded Hypothesis profile."""
 
 
 class TestInjectedFaults:
-    """Each fault below is one the oracle has to see."""
+    """Faults that the state machine has to detect."""
 
     def test_continuation_that_restarts_is_detected(self, monkeypatch):
         original_order = execution._order
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -1,4 +1,4 @@
-"""How an entry finds out that an upstream died, and whom it tells."""
+"""Detection of upstream deaths at an entry, and reports to its peers."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 class TestProbe:
     async def test_closing_listener_counts_as_refused(self):
-        """Its listener accepts for a moment after its connections broke."""
+        """An exiting process still accepts connections for a moment."""
 
         async def end(_, writer):
             server.close()
@@ -134,7 +134,7 @@
     def test_request_waits_while_the_last_upstream_is_reserved(
         self, loop, entries
     ):
-        """After two deaths of four the other two may be reserved at once."""
+        """With two of four upstreams dead, both others may be reserved."""
         entry = entries[0]
         announcement = worlds.said("u0", "model")
         upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
--- a/testing/worlds.py
+++ b/testing/worlds.py
@@ -1,4 +1,4 @@
-"""Entries over a fake control group and fake upstreams, on virtual time."""
+"""Entries with a fake control group and fake upstreams, on virtual time."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from _arbutuswalk.state import ledger
 from _arbutuswalk.state import machine
 from _arbutuswalk.state import outcomes
-from _arbutuswalk.state import tables as rows
+from _arbutuswalk.state import tables as state_tables
 from _arbutuswalk.state import view
 from _arbutuswalk.wire import link
 
@@ -77,25 +77,25 @@
 
 
 class Control:
-    """A control group reduced to its tables, behind an unreliable link.
+    """A control group that consists of its tables, behind an unreliable link.
 
     Attributes:
         tables: The replicated tables.
-        modes: What may happen to a command: ``ok``, ``lost`` (not committed),
+        modes: Possible fates of a command: ``ok``, ``lost`` (not committed),
             ``deaf`` (committed, answer lost) or ``late`` (committed after the
-            sender gave up).
+            sender timed out).
     """
 
     def __init__(self, loop, rng):
         self.loop = loop
         self.rng = rng
-        self.tables = rows.Tables()
+        self.tables = state_tables.Tables()
         self.index = 0
         self.modes = ["ok"]
         self.seen = {}
 
     def runs_alone(self, upstream):
-        """What the leader concludes from the entries' reports."""
+        """Returns what the leader concludes from the reports of the entries."""
         isolation = self.tables.isolations.get(upstream)
         return isolation is not None and all(
             version >= isolation.index and upstream not in active
@@ -107,7 +107,7 @@
         at_ms = int(self.loop.time() * 1000)
         payload = machine.stamp(command, at_ms)
         outcome = machine.apply(self.tables, payload, self.index)
-        # What a restart would load must be what is there.
+        # Loading the dump must restore the same tables, as after a restart.
         dump = machine.dump(self.tables)
         assert machine.dump(machine.load(dump)) == dump
         return outcome
@@ -117,7 +117,7 @@
 
 
 class Client:
-    """What an entry sees of the control group."""
+    """An entry's client of the fake control group."""
 
     def __init__(self, control):
         self.control = control
@@ -153,7 +153,7 @@
 
 
 class UnreachableLink:
-    """A link to another entry that never opens."""
+    """A link to another entry that never connects."""
 
     async def call(self, message, *, timeout_s):
         return link.LinkDown(reason="deaf", sent=False)
@@ -163,7 +163,7 @@
 
 
 def make_entry(loop, control, name, incarnation=1):
-    """Returns an entry that is registered, leased and configured."""
+    """Returns an entry with a registration, a lease and a configuration."""
     entry = entry_state.Entry(
         settings={**ENTRY_SETTINGS, "id": name},
         incarnation=incarnation,
@@ -183,7 +183,7 @@
 
 
 def refresh(entry, control):
-    """Brings an entry's view and lease up to date."""
+    """Updates an entry's view and grants it a lease without end."""
     if control.tables.revision == 0:
         control.commit(commands.Apply("op", "test", 0, INVENTORY))
     entry.view = json.loads(json.dumps(view.parts_since(control.tables, -1)))
@@ -192,7 +192,7 @@
 
 
 def said(identity, upstream, **extra):
-    """Returns an announcement."""
+    """Returns an announcement of an upstream; ``extra`` overrides fields."""
     return {
         "id": identity,
         "incarnation": 1,
