--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -118,7 +118,7 @@
     started = entry.now()
     events_before = len(request.answer.events)
     request.attempts += 1
-    request.sent = True
+    request.possibly_sent = True
     request.move_requested.clear()
     _add_to_history(
         state, f"attempt {request.attempts} on {row.key} at {events_before}"
@@ -346,10 +346,10 @@
 
 def _fail_at_deadline(state: RunState) -> None:
     request = state.request
-    ran = "unknown" if request.sent else "no"
+    ran = "unknown" if request.possibly_sent else "no"
     request.answer.fail(
         answer.Problem(
-            504 if request.sent else 503,
+            504 if request.possibly_sent else 503,
             "deadline cannot be met",
             f"deadline passed; {request.attempts} attempts were made",
             ran,
--- a/src/_arbutuswalk/entry/models.py
+++ b/src/_arbutuswalk/entry/models.py
@@ -218,7 +218,7 @@
                     500,
                     "request abandoned",
                     "the entry stopped running it",
-                    "unknown" if request.sent else "no",
+                    "unknown" if request.possibly_sent else "no",
                     1,
                 )
             )
--- a/src/_arbutuswalk/entry/request_copies.py
+++ b/src/_arbutuswalk/entry/request_copies.py
@@ -261,7 +261,7 @@
     copy = entry.copies.pop(request_id)
     request = _request_from_json(entry, request_id, copy.request)
     request.answer.add(copy.events)
-    request.sent = True
+    request.possibly_sent = True
     log_events.log(log_events.Event.COPY_ADOPTED, request_id, copy.owner)
     entry.metrics.count("copies_adopted")
     entry.requests[request_id] = request
--- a/src/_arbutuswalk/entry/requests.py
+++ b/src/_arbutuswalk/entry/requests.py
@@ -55,7 +55,7 @@
         accepted_at: When it was accepted, in seconds.
         answer: Its answer so far.
         attempts: Attempts sent so far.
-        sent: Whether any byte may have reached an upstream.
+        possibly_sent: Whether any byte may have reached an upstream.
         copied_events: Number of events copied to the peer entry.
         isolated_upstream: Id of the upstream reserved for it, or empty.
         move_requested: Set to move the running attempt to another upstream.
@@ -95,7 +95,7 @@
         self.accepted_at = now
         self.answer = answer.Answer(request_id=request_id)
         self.attempts = 0
-        self.sent = False
+        self.possibly_sent = False
         self.copied_events = 0
         self.isolated_upstream = ""
         self.move_requested = asyncio.Event()
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -89,7 +89,7 @@
 
     async def _run(self, call: ServiceCall) -> exchange.Reply | answer.Problem:
         if call.route["repeatable"]:
-            return await _run_repeatable(self.entry, call)
+            return await _run_idempotent(self.entry, call)
         # A started call runs to its end even if the caller disconnects.
         task = asyncio.ensure_future(calls.run_once(self.entry, call))
         self.entry.track_task(task)
@@ -163,14 +163,14 @@
     return choose.choose(rows, features, avoid=avoid)
 
 
-async def _run_repeatable(
+async def _run_idempotent(
     entry: entry_state.Entry, call: ServiceCall
 ) -> exchange.Reply | answer.Problem:
     """Runs an idempotent call, retrying on other upstreams."""
     budget = entry.retry_budget_for(call.upstream["name"])
     budget.deposit()
     avoid: set[str] = set()
-    may_have_run = False
+    possibly_sent = False
     for attempt in range(MAX_ATTEMPTS):
         if attempt and not await _wait_for_budget(entry, budget, call.deadline):
             break
@@ -183,15 +183,15 @@
                 return result
             if attempt + 1 == MAX_ATTEMPTS:
                 return result
-        may_have_run = may_have_run or not isinstance(
+        possibly_sent = possibly_sent or not isinstance(
             result, exchange.NotOpened
         )
         avoid.add(row.key)
     return answer.Problem(
-        504 if may_have_run else 503,
+        504 if possibly_sent else 503,
         "service unavailable",
         f"no upstream of {call.upstream['name']} answered in time",
-        "unknown" if may_have_run else "no",
+        "unknown" if possibly_sent else "no",
         placement.RETRY_AFTER_S,
     )
 
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -323,7 +323,7 @@
         "request quarantined",
         "upstreams died while running this request; change it before sending"
         f" it again, or wait until {until_ms} ms of wall time",
-        "yes" if request.sent else "no",
+        "yes" if request.possibly_sent else "no",
     )
 
 
