--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -8,7 +8,6 @@
 from starlette import responses
 from starlette import routing
 
-from _arbutuswalk.entry import announcing
 from _arbutuswalk.entry import calls
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.entry import entry_state
@@ -17,6 +16,7 @@
 from _arbutuswalk.entry import models
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import services
+from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.state import outcomes
 
 ENTRIES_TTL_S = 10
@@ -58,12 +58,12 @@
             ),
             routing.Route(
                 "/v1/upstreams/announce",
-                announcing.announce_endpoint(entry),
+                upstream_announcements.announce_endpoint(entry),
                 methods=["POST"],
             ),
             routing.Route(
                 "/v1/upstreams/events",
-                announcing.cache_events_endpoint(entry),
+                upstream_announcements.cache_events_endpoint(entry),
                 methods=["POST"],
             ),
             routing.Route("/metrics", _metrics_endpoint(entry)),
--- a/src/_arbutuswalk/entry/link_handler.py
+++ b/src/_arbutuswalk/entry/link_handler.py
@@ -3,10 +3,10 @@
 import json
 from typing import Any
 
-from _arbutuswalk.entry import announcing
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import request_copies
+from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 RELAY_TIMEOUT_S = 1.5
@@ -23,7 +23,7 @@
 
     async def handle(message: object) -> object | None:
         if isinstance(message, ttypes.UpstreamNews):
-            announcing.on_peer_updates(entry, message)
+            upstream_announcements.on_peer_updates(entry, message)
             return None
         if isinstance(message, ttypes.CopyProgress):
             request_copies.on_copy_progress(entry, message)
--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -40,7 +40,7 @@
             return _problem_response(
                 "bad announcement", "; ".join(announcement.problems), 400
             )
-        refused = take(entry, announcement, age_s=0.0)
+        refused = apply_announcement(entry, announcement, age_s=0.0)
         if refused is not None:
             events.warn(
                 events.Event.ANNOUNCE_REFUSED,
@@ -82,7 +82,7 @@
     return cache_events
 
 
-def take(
+def apply_announcement(
     entry: entry_state.Entry,
     announcement: announcements.Announcement,
     *,
@@ -117,7 +117,7 @@
     for encoded in message.announcements:
         update = json.loads(encoded)
         if update["kind"] == peer_updates.ANNOUNCEMENT:
-            take(entry, update["said"], age_s=update["age_s"])
+            apply_announcement(entry, update["said"], age_s=update["age_s"])
         elif update["kind"] == peer_updates.CACHE_EVENT:
             _apply_cache_event(entry, update["event"])
         elif update["kind"] == peer_updates.SUSPECTS:
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -9,11 +9,11 @@
 import worlds
 from hypothesis import stateful
 
-from _arbutuswalk.entry import announcing
 from _arbutuswalk.entry import models
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
+from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.load import checks
 from _arbutuswalk.load import workload
 from _arbutuswalk.routing import upstreams
@@ -178,7 +178,9 @@
         )
 
     def _announce(self, entry, runner):
-        announcing.take(entry, runner.said(), age_s=0.0)
+        upstream_announcements.apply_announcement(
+            entry, runner.said(), age_s=0.0
+        )
 
     def _pass(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -8,11 +8,11 @@
 import virtual
 import worlds
 
-from _arbutuswalk.entry import announcing
 from _arbutuswalk.entry import peer_updates
 from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
+from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
@@ -78,7 +78,7 @@
         message = ttypes.UpstreamNews(
             announcements=[json.dumps(update).encode()]
         )
-        announcing.on_peer_updates(entry, message)
+        upstream_announcements.on_peer_updates(entry, message)
 
     def test_suspect_counts_before_the_report_is_committed(self, entries):
         assert not entries[1].is_suspect("f")
