--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -8,7 +8,7 @@
 from starlette import responses
 from starlette import routing
 
-from _arbutuswalk.entry import calls
+from _arbutuswalk.entry import at_most_once
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
@@ -162,7 +162,7 @@
         "entry": call_state.entry,
         "route": call_state.route,
     }
-    outcome = calls.outcome_of_record(call_state)
+    outcome = at_most_once.outcome_of_record(call_state)
     if isinstance(outcome, exchange.Reply):
         document["status"] = outcome.status
         document["answer"] = outcome.body.decode(errors="replace")
--- a/src/_arbutuswalk/entry/calls.py
+++ b/src/_arbutuswalk/entry/at_most_once.py
@@ -36,7 +36,7 @@
 Outcome = exchange.Reply | answer.Problem
 
 
-async def run_once(
+async def run_call(
     entry: entry_state.Entry, call: services.ServiceCall
 ) -> Outcome:
     """Runs a call at most once and returns its answer or known outcome.
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -7,7 +7,7 @@
 
 from starlette import responses
 
-from _arbutuswalk.entry import calls
+from _arbutuswalk.entry import at_most_once
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import http
@@ -91,7 +91,7 @@
         if call.route["repeatable"]:
             return await _run_idempotent(self.entry, call)
         # A started call runs to its end even if the caller disconnects.
-        task = asyncio.ensure_future(calls.run_once(self.entry, call))
+        task = asyncio.ensure_future(at_most_once.run_call(self.entry, call))
         self.entry.track_task(task)
         return await asyncio.shield(task)
 
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -8,7 +8,7 @@
 import worlds
 from hypothesis import stateful
 
-from _arbutuswalk.entry import calls
+from _arbutuswalk.entry import at_most_once
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import services
 from _arbutuswalk.routing import upstreams
@@ -144,7 +144,7 @@
             deadline=self.loop.time() + 8,
             priority=5,
         )
-        task = self.loop.create_task(calls.run_once(entry, call))
+        task = self.loop.create_task(at_most_once.run_call(entry, call))
         self.sent.append((name, call, task))
 
     @stateful.precondition(lambda self: self.sent)
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -4,7 +4,7 @@
 import pytest
 import twins
 
-from _arbutuswalk.entry import calls
+from _arbutuswalk.entry import at_most_once
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import ledger
 from _arbutuswalk.state import machine
@@ -110,9 +110,9 @@
 
     def test_retry_after_a_byte_left(self, monkeypatch):
         async def try_again(entry, call, attempt, row):
-            return await calls._withdraw(entry, call, attempt)
+            return await at_most_once._withdraw(entry, call, attempt)
 
-        monkeypatch.setattr(calls, "_resolve", try_again)
+        monkeypatch.setattr(at_most_once, "_resolve", try_again)
         with pytest.raises(AssertionError):
             twins.run(ledger_machine.LedgerMachine)
 
@@ -133,10 +133,10 @@
     def test_send_without_waiting_for_the_grant(self, monkeypatch):
         async def eager(entry, call, attempt, outcome):
             row = next(iter(entry.upstreams.rows.values()))
-            sent = await calls._send(entry, call, attempt, row)
-            return sent or calls._not_run("never opened")
+            sent = await at_most_once._send(entry, call, attempt, row)
+            return sent or at_most_once._not_run("never opened")
 
-        monkeypatch.setattr(calls, "_not_granted", eager)
+        monkeypatch.setattr(at_most_once, "_not_granted", eager)
         with pytest.raises(AssertionError):
             twins.run(ledger_machine.LedgerMachine)
 
@@ -146,6 +146,6 @@
             twins.run(ledger_machine.LedgerMachine)
 
     def test_refusal_that_lies(self, monkeypatch):
-        monkeypatch.setattr(calls, "_unknown", calls._not_run)
+        monkeypatch.setattr(at_most_once, "_unknown", at_most_once._not_run)
         with pytest.raises(AssertionError):
             twins.run(ledger_machine.LedgerMachine)
