--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -13,7 +13,7 @@
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import http
-from _arbutuswalk.entry import models
+from _arbutuswalk.entry import model_routes
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import services
 from _arbutuswalk.entry import upstream_announcements
@@ -29,9 +29,11 @@
     Model routes bypass the framework's middleware, because streaming needs
     the server's own ``send`` to reach its flow control.
     """
-    entry.start_request = lambda request: models.start_task(entry, request)
+    entry.start_request = lambda request: model_routes.start_task(
+        entry, request
+    )
     model_endpoints = {
-        path: models.ModelRoute(entry=entry, route=route)
+        path: model_routes.ModelRoute(entry=entry, route=route)
         for route, path in requests.PATHS.items()
     }
     fallback_app = _make_fallback_app(entry)
--- a/src/_arbutuswalk/entry/maintenance.py
+++ b/src/_arbutuswalk/entry/maintenance.py
@@ -4,7 +4,7 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import entry_state
-from _arbutuswalk.entry import models
+from _arbutuswalk.entry import model_routes
 from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import request_copies
 from _arbutuswalk.entry import suspicion
@@ -80,4 +80,4 @@
         return
     for request_id in request_copies.orphaned_request_ids(entry):
         request = request_copies.take_over(entry, request_id)
-        request.unread_since = entry.now() + models.TAKEN_OVER_GRACE_S
+        request.unread_since = entry.now() + model_routes.TAKEN_OVER_GRACE_S
--- a/src/_arbutuswalk/entry/models.py
+++ b/src/_arbutuswalk/entry/model_routes.py
@@ -82,7 +82,7 @@
         problem = placement.early_refusal(entry, request)
         if problem is not None:
             return problem
-        start(entry, request)
+        accept_request(entry, request)
         reset = "last-event-id" in headers
         return request, 0, reset
 
@@ -181,7 +181,9 @@
         )
 
 
-def start(entry: entry_state.Entry, request: requests.ModelRequest) -> None:
+def accept_request(
+    entry: entry_state.Entry, request: requests.ModelRequest
+) -> None:
     """Registers a request and starts to run it."""
     entry.requests[request.request_id] = request
     if request.key:
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -11,7 +11,7 @@
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import http
-from _arbutuswalk.entry import models
+from _arbutuswalk.entry import model_routes
 from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import requests
 from _arbutuswalk.routing import choose
@@ -69,15 +69,21 @@
         """Serves one call."""
         body = await http.read_body(receive)
         if isinstance(body, answer.Problem):
-            await models.send_refusal(self.entry, body, scope, receive, send)
+            await model_routes.send_refusal(
+                self.entry, body, scope, receive, send
+            )
             return
         call = check_call(self.entry, scope, body)
         if isinstance(call, answer.Problem):
-            await models.send_refusal(self.entry, call, scope, receive, send)
+            await model_routes.send_refusal(
+                self.entry, call, scope, receive, send
+            )
             return
         result = await self._run(call)
         if isinstance(result, answer.Problem):
-            await models.send_refusal(self.entry, result, scope, receive, send)
+            await model_routes.send_refusal(
+                self.entry, result, scope, receive, send
+            )
             return
         response = responses.Response(
             result.body,
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -9,7 +9,7 @@
 import worlds
 from hypothesis import stateful
 
-from _arbutuswalk.entry import models
+from _arbutuswalk.entry import model_routes
 from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
@@ -144,7 +144,7 @@
         transfers.export_cache = self._no_export
         for entry in self.entries:
             entry.start_request = lambda request, entry=entry: (
-                models.start_task(entry, request)
+                model_routes.start_task(entry, request)
             )
         self.background = self.loop.create_task(self._upkeep())
 
@@ -208,7 +208,7 @@
         )
 
         async def start():
-            models.start(entry, request)
+            model_routes.accept_request(entry, request)
 
         self.loop.run_until_complete(start())
         return request
