--- a/src/_arbutuswalk/cli/main.py
+++ b/src/_arbutuswalk/cli/main.py
@@ -11,7 +11,7 @@
 from _arbutuswalk.cli import common
 from _arbutuswalk.cli import platform
 from _arbutuswalk.cli import remote
-from _arbutuswalk.entry import requests
+from _arbutuswalk.entry import model_requests
 
 
 class Status(common.Command):
@@ -112,7 +112,7 @@
         """Runs the command."""
         request_id = self.argument("request")
         entries = self.checked(remote.read(self.addresses(), "entries"))
-        owner = requests.owner_of(request_id)
+        owner = model_requests.owner_of(request_id)
         if owner not in entries:
             self.fail(
                 f"{request_id}: no entry {owner!r}", common.EXIT_BAD_INPUT
--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -13,8 +13,8 @@
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import http
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import model_routes
-from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import services
 from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.state import outcomes
@@ -34,7 +34,7 @@
     )
     model_endpoints = {
         path: model_routes.ModelRoute(entry=entry, route=route)
-        for route, path in requests.PATHS.items()
+        for route, path in model_requests.ROUTE_PATHS.items()
     }
     fallback_app = _make_fallback_app(entry)
 
@@ -78,7 +78,9 @@
     request: http_requests.Request, _error: Exception
 ) -> responses.Response:
     detail = f"{request.method} {request.url.path} is not served here"
-    return http.problem_response(requests.refusal("no such route", detail, 404))
+    return http.problem_response(
+        model_requests.refusal("no such route", detail, 404)
+    )
 
 
 def _entries_endpoint(entry: entry_state.Entry):
@@ -151,13 +153,17 @@
         "call", f"{workspace}\n{key}", timeout_s=STATUS_READ_TIMEOUT_S
     )
     if isinstance(reply, control_client.Unreachable):
-        problem = requests.refusal("control unreachable", reply.reason, 503)
+        problem = model_requests.refusal(
+            "control unreachable", reply.reason, 503
+        )
         return http.problem_response(problem._replace(ran="unknown"))
     call_state = outcomes.decode(reply) if isinstance(reply, dict) else None
     if not isinstance(call_state, outcomes.CallState):
         detail = f"nothing is known of {key!r}"
         return http.problem_response(
-            requests.refusal("unknown key", detail, 404)._replace(ran="unknown")
+            model_requests.refusal("unknown key", detail, 404)._replace(
+                ran="unknown"
+            )
         )
     document: dict[str, Any] = {
         "state": call_state.state,
--- a/src/_arbutuswalk/entry/delivery.py
+++ b/src/_arbutuswalk/entry/delivery.py
@@ -13,7 +13,7 @@
 
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import http
-from _arbutuswalk.entry import requests
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.streams import answer as answers
 from _arbutuswalk.streams import framing
 
@@ -87,7 +87,7 @@
 
 async def deliver(
     entry: entry_state.Entry,
-    request: requests.ModelRequest,
+    request: model_requests.ModelRequest,
     receive: http.Receive,
     send: http.Send,
     *,
@@ -180,7 +180,7 @@
 
 
 async def _deliver_whole(
-    request: requests.ModelRequest,
+    request: model_requests.ModelRequest,
     reader: AnswerReader,
     disconnected: asyncio.Future,
 ) -> None:
@@ -199,7 +199,7 @@
     await response({"type": "http"}, None, reader.send)
 
 
-def completion_body(request: requests.ModelRequest) -> dict[str, Any]:
+def completion_body(request: model_requests.ModelRequest) -> dict[str, Any]:
     """Returns the OpenAI-style body of an answer that was not streamed."""
     text = request.answer.text()
     usage = _reported_usage(request)
@@ -219,7 +219,7 @@
     }
 
 
-def _reported_usage(request: requests.ModelRequest) -> dict[str, int]:
+def _reported_usage(request: model_requests.ModelRequest) -> dict[str, int]:
     for event in reversed(request.answer.events):
         payload = framing.payload_of(event)
         if payload and payload.get("usage"):
--- a/src/_arbutuswalk/entry/entry_state.py
+++ b/src/_arbutuswalk/entry/entry_state.py
@@ -9,7 +9,7 @@
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import metrics
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import requests
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.limits import budget
 from _arbutuswalk.limits import fair
 from _arbutuswalk.routing import evidence
@@ -93,7 +93,7 @@
         self.queues: dict[str, fair.FairQueue] = {}
         self.retry_budgets: dict[str, budget.Budget] = {}
         self.evidence = evidence.Evidence()
-        self.requests: dict[str, requests.ModelRequest] = {}
+        self.requests: dict[str, model_requests.ModelRequest] = {}
         self.request_ids_by_key: dict[tuple[str, str], str] = {}
         self.running_calls: dict[tuple[str, str], Any] = {}
         self.local_suspects: set[str] = set()
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -5,8 +5,8 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.limits import fair
@@ -38,7 +38,7 @@
         self,
         *,
         entry: entry_state.Entry,
-        request: requests.ModelRequest,
+        request: model_requests.ModelRequest,
         ticket: fair.Ticket | None,
     ):
         self.entry = entry
@@ -52,7 +52,7 @@
 
 async def run(
     entry: entry_state.Entry,
-    request: requests.ModelRequest,
+    request: model_requests.ModelRequest,
     ticket: fair.Ticket,
 ) -> None:
     """Runs ``request`` until its answer has ended.
@@ -187,7 +187,7 @@
         }
     return attempts.Order(
         address=row.said["address"],
-        path=requests.PATHS[request.route],
+        path=model_requests.ROUTE_PATHS[request.route],
         request_id=request.request_id,
         attempt_id=uuid.uuid4().hex,
         body=body,
--- a/src/_arbutuswalk/entry/requests.py
+++ b/src/_arbutuswalk/entry/model_requests.py
@@ -10,7 +10,7 @@
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
 
-PATHS = {"chat": "/v1/chat/completions", "completions": "/v1/completions"}
+ROUTE_PATHS = {"chat": "/v1/chat/completions", "completions": "/v1/completions"}
 MAX_TOKENS_LIMIT = 32768
 DEFAULT_MAX_TOKENS = 256
 DEFAULT_DEADLINE_S = 60.0
--- a/src/_arbutuswalk/entry/model_routes.py
+++ b/src/_arbutuswalk/entry/model_routes.py
@@ -8,9 +8,9 @@
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import execution
 from _arbutuswalk.entry import http
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import request_copies
-from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.limits import fair
 from _arbutuswalk.state import inventory as inventories
@@ -60,16 +60,16 @@
 
     async def _admit(
         self, headers: dict[str, str], raw: bytes
-    ) -> tuple[requests.ModelRequest, int, bool] | answer.Problem:
+    ) -> tuple[model_requests.ModelRequest, int, bool] | answer.Problem:
         """Returns the request, the first event to send and whether to reset."""
         entry = self.entry
         workspace = http.authenticate(entry, headers)
         if isinstance(workspace, answer.Problem):
             return http.lease_problem(entry) or workspace
-        options = requests.parse_options(headers)
+        options = model_requests.parse_options(headers)
         if isinstance(options, answer.Problem):
             return options
-        body = requests.parse_body(raw, self.route)
+        body = model_requests.parse_body(raw, self.route)
         if isinstance(body, answer.Problem):
             return body
         resumed = await self._find_resumable(headers, raw, workspace, options)
@@ -91,8 +91,8 @@
         headers: dict[str, str],
         raw: bytes,
         workspace: inventories.Workspace,
-        options: requests.RequestOptions,
-    ) -> tuple[requests.ModelRequest, int, bool] | answer.Problem | None:
+        options: model_requests.RequestOptions,
+    ) -> tuple[model_requests.ModelRequest, int, bool] | answer.Problem | None:
         """Returns the request that a resend or a resumption refers to."""
         entry = self.entry
         last_event = None
@@ -100,7 +100,7 @@
             last_event = framing.parse_event_id(headers["last-event-id"])
             if last_event is None:
                 detail = "Last-Event-ID: give an id that an event carried"
-                return requests.refusal("bad header", detail)
+                return model_requests.refusal("bad header", detail)
         existing = find_request(
             entry, workspace["name"], options.key, last_event
         )
@@ -112,7 +112,7 @@
             return None
         if existing.digest != inventories.digest(raw):
             detail = "the key or id belongs to another body"
-            return requests.refusal("key reused", detail, 409)
+            return model_requests.refusal("key reused", detail, 409)
         if last_event is None or last_event[0] != existing.request_id:
             return existing, 0, last_event is not None
         position = last_event[1] + 1
@@ -140,13 +140,13 @@
                 if item["kind"] == "model"
             )
             detail = f"model: {body['model']!r} is unknown; known: {names}"
-            return requests.refusal("unknown model", detail, 404)
+            return model_requests.refusal("unknown model", detail, 404)
         if len(entry.requests) >= MAX_TRACKED_REQUESTS:
             detail = "too many requests are in flight here"
             return answer.Problem(503, "entry full", detail, "no", 1)
         digest = inventories.digest(raw)
         name = workspace["name"]
-        fingerprint = requests.fingerprint(name, self.route, digest)
+        fingerprint = model_requests.fingerprint(name, self.route, digest)
         until_ms = entry.convicted_until_ms(fingerprint)
         if until_ms:
             return answer.Problem(
@@ -162,13 +162,13 @@
     def _make_request(
         self,
         workspace: inventories.Workspace,
-        options: requests.RequestOptions,
+        options: model_requests.RequestOptions,
         body: dict[str, Any],
         raw: bytes,
-    ) -> requests.ModelRequest:
+    ) -> model_requests.ModelRequest:
         now = self.entry.now()
-        return requests.ModelRequest(
-            request_id=requests.new_request_id(self.entry.name),
+        return model_requests.ModelRequest(
+            request_id=model_requests.new_request_id(self.entry.name),
             workspace=workspace["name"],
             weight=workspace["weight"],
             key=options.key,
@@ -182,7 +182,7 @@
 
 
 def accept_request(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> None:
     """Registers a request and starts to run it."""
     entry.requests[request.request_id] = request
@@ -196,7 +196,7 @@
 
 
 def start_task(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> None:
     """Queues a request and runs it in its own task."""
     ticket = placement.enqueue(entry, request)
@@ -205,7 +205,7 @@
 
 async def _run_request(
     entry: entry_state.Entry,
-    request: requests.ModelRequest,
+    request: model_requests.ModelRequest,
     ticket: fair.Ticket,
 ) -> None:
     try:
@@ -238,7 +238,7 @@
     workspace: str,
     key: str,
     last_event: tuple[str, int] | None = None,
-) -> requests.ModelRequest | None:
+) -> model_requests.ModelRequest | None:
     """Returns a known request of the workspace by event id or key.
 
     A request that failed is not returned for its key, so that a resend of it
--- a/src/_arbutuswalk/entry/placement.py
+++ b/src/_arbutuswalk/entry/placement.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from _arbutuswalk.entry import entry_state
-from _arbutuswalk.entry import requests
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.limits import fair
 from _arbutuswalk.routing import choose
 from _arbutuswalk.routing import evidence
@@ -24,7 +24,7 @@
         future: Resolves to the upstream, with a slot reserved.
     """
 
-    request: requests.ModelRequest
+    request: model_requests.ModelRequest
     avoid: frozenset[str]
     future: asyncio.Future
 
@@ -44,7 +44,7 @@
 
 
 def early_refusal(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> answer.Problem | None:
     """Refuses a new request whose deadline cannot be met.
 
@@ -87,7 +87,7 @@
 
 def enqueue(
     entry: entry_state.Entry,
-    request: requests.ModelRequest,
+    request: model_requests.ModelRequest,
     *,
     avoid: frozenset[str] = frozenset(),
 ) -> fair.Ticket:
@@ -105,7 +105,7 @@
 
 async def wait_for_placement(
     entry: entry_state.Entry,
-    request: requests.ModelRequest,
+    request: model_requests.ModelRequest,
     ticket: fair.Ticket,
 ) -> upstreams.Row | None:
     """Waits for an upstream; None if the deadline passes first."""
@@ -151,7 +151,7 @@
     return True
 
 
-def reserve(row: upstreams.Row, request: requests.ModelRequest) -> None:
+def reserve(row: upstreams.Row, request: model_requests.ModelRequest) -> None:
     """Reserves a slot of an upstream for a request."""
     row.sent += 1
     row.active[request.request_id] = None
@@ -159,7 +159,9 @@
 
 
 def release(
-    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
 ) -> None:
     """Ends a reservation and places waiting requests."""
     row.ended += 1
@@ -168,7 +170,7 @@
 
 
 def _make_ticket(
-    request: requests.ModelRequest, queued: QueuedRequest | None
+    request: model_requests.ModelRequest, queued: QueuedRequest | None
 ) -> fair.Ticket:
     return fair.Ticket(
         workspace=request.workspace,
--- a/src/_arbutuswalk/entry/request_copies.py
+++ b/src/_arbutuswalk/entry/request_copies.py
@@ -14,7 +14,7 @@
 
 from _arbutuswalk.base import events as log_events
 from _arbutuswalk.entry import entry_state
-from _arbutuswalk.entry import requests
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
@@ -73,7 +73,7 @@
 
 
 def start_copying(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> None:
     """Starts to copy an accepted request and its events to the holder."""
     holder = copy_holder_of(entry, entry.name, request.request_id)
@@ -87,7 +87,7 @@
 
 
 async def _copy_request_and_events(
-    entry: entry_state.Entry, request: requests.ModelRequest, address: str
+    entry: entry_state.Entry, request: model_requests.ModelRequest, address: str
 ) -> None:
     holder_link = entry.link_to(address)
     message = ttypes.CopyRequest(
@@ -105,7 +105,10 @@
 
 
 def _send_events(
-    holder_link: link.Link, request: requests.ModelRequest, *, finished: bool
+    holder_link: link.Link,
+    request: model_requests.ModelRequest,
+    *,
+    finished: bool,
 ) -> None:
     new_events = request.answer.events[request.copied_events :]
     if not new_events and not finished:
@@ -122,7 +125,7 @@
 
 
 def send_final_events(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> None:
     """Sends the last events and whether the request failed."""
     holder = copy_holder_of(entry, entry.name, request.request_id)
@@ -191,7 +194,7 @@
 
 async def fetch_and_take_over(
     entry: entry_state.Entry, request_id: str, workspace: str
-) -> requests.ModelRequest | None:
+) -> model_requests.ModelRequest | None:
     """Takes over a request that a caller resumes, if it can be found.
 
     Asks the owner first, then the holder of the copy. The events they have
@@ -206,7 +209,7 @@
 
 
 async def _fetch_copy(entry: entry_state.Entry, request_id: str) -> None:
-    owner = requests.owner_of(request_id)
+    owner = model_requests.owner_of(request_id)
     entries = entry.view.get("entries", {})
     holder = copy_holder_of(entry, owner, request_id)
     for name in (owner, holder):
@@ -256,7 +259,7 @@
 
 def take_over(
     entry: entry_state.Entry, request_id: str
-) -> requests.ModelRequest:
+) -> model_requests.ModelRequest:
     """Turns a copy into a request of this entry and runs the rest of it."""
     copy = entry.copies.pop(request_id)
     request = _request_from_json(entry, request_id, copy.request)
@@ -275,7 +278,7 @@
 
 
 def _request_to_json(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> dict[str, Any]:
     return {
         "workspace": request.workspace,
@@ -291,9 +294,9 @@
 
 def _request_from_json(
     entry: entry_state.Entry, request_id: str, fields: dict[str, Any]
-) -> requests.ModelRequest:
+) -> model_requests.ModelRequest:
     now = entry.now()
-    request = requests.ModelRequest(
+    request = model_requests.ModelRequest(
         request_id=request_id,
         workspace=fields["workspace"],
         weight=fields["weight"],
@@ -301,12 +304,12 @@
         route=fields["route"],
         raw=b"",
         body=fields["body"],
-        deadline=now + max(fields["left_s"], requests.DEFAULT_DEADLINE_S),
+        deadline=now + max(fields["left_s"], model_requests.DEFAULT_DEADLINE_S),
         priority=fields["priority"],
         now=now,
     )
     request.digest = fields["digest"]
-    request.fingerprint = requests.fingerprint(
+    request.fingerprint = model_requests.fingerprint(
         request.workspace, request.route, request.digest
     )
     return request
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -11,9 +11,9 @@
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import http
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import model_routes
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import requests
 from _arbutuswalk.routing import choose
 from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
@@ -113,7 +113,7 @@
     workspace = http.authenticate(entry, headers)
     if isinstance(workspace, answer.Problem):
         return workspace
-    options = requests.parse_options(headers)
+    options = model_requests.parse_options(headers)
     if isinstance(options, answer.Problem):
         return options
     match = _find_route(entry, scope)
@@ -122,9 +122,9 @@
     upstream, route, path = match
     if not route["repeatable"] and not options.key:
         detail = "this route may not be repeated: send an Idempotency-Key"
-        return requests.refusal("missing key", detail)
+        return model_requests.refusal("missing key", detail)
     return ServiceCall(
-        call_id=requests.new_request_id(entry.name),
+        call_id=model_requests.new_request_id(entry.name),
         workspace=workspace["name"],
         upstream=upstream,
         route=route,
@@ -144,7 +144,9 @@
     name, _, rest = scope["path"].removeprefix(PATH_PREFIX).partition("/")
     upstream = inventories.find_upstream(entry.inventory, name)
     if upstream is None or upstream["kind"] != "service":
-        return requests.refusal("unknown service", f"{name!r} is unknown", 404)
+        return model_requests.refusal(
+            "unknown service", f"{name!r} is unknown", 404
+        )
     path = f"/{rest}"
     route = inventories.find_route(upstream, scope["method"], path)
     if route is None:
@@ -153,7 +155,7 @@
             for item in upstream["routes"]
         )
         detail = f"{scope['method']} {path} is no route; known: {known}"
-        return requests.refusal("unknown route", detail, 404)
+        return model_requests.refusal("unknown route", detail, 404)
     query = scope.get("query_string", b"").decode("latin-1")
     return upstream, route, f"{path}?{query}" if query else path
 
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -6,9 +6,9 @@
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import peer_updates
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import requests
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import outcomes
@@ -171,7 +171,7 @@
 
 async def place_isolated(
     entry: entry_state.Entry,
-    request: requests.ModelRequest,
+    request: model_requests.ModelRequest,
     *,
     avoid: frozenset[str],
 ) -> upstreams.Row | answer.Problem | None:
@@ -194,7 +194,7 @@
 
 
 def _isolation_candidates(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> list[upstreams.Row]:
     """Returns upstreams that may be reserved, within the maximum fraction."""
     rows = placement.candidates(
@@ -207,7 +207,9 @@
 
 
 async def _wait_until_exclusive(
-    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
 ) -> bool:
     """Waits until no entry runs another request on a reserved upstream.
 
@@ -259,7 +261,9 @@
 
 
 async def _isolate(
-    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
 ) -> object:
     request.isolated_upstream = row.said["id"]
     outcome = await entry.control.submit(
@@ -283,7 +287,10 @@
 
 
 async def release_isolation(
-    entry: entry_state.Entry, request: requests.ModelRequest, *, cleared: bool
+    entry: entry_state.Entry,
+    request: model_requests.ModelRequest,
+    *,
+    cleared: bool,
 ) -> None:
     """Ends the isolation of a request, if it has one.
 
@@ -305,7 +312,7 @@
 
 
 def release_isolation_in_background(
-    entry: entry_state.Entry, request: requests.ModelRequest
+    entry: entry_state.Entry, request: model_requests.ModelRequest
 ) -> None:
     """Ends the isolation of a cancelled request in the background."""
     task = asyncio.ensure_future(
@@ -315,7 +322,7 @@
 
 
 def convicted_problem(
-    request: requests.ModelRequest, until_ms: int
+    request: model_requests.ModelRequest, until_ms: int
 ) -> answer.Problem:
     """Returns the refusal of a request convicted of crashing upstreams."""
     return answer.Problem(
--- a/src/_arbutuswalk/entry/transfers.py
+++ b/src/_arbutuswalk/entry/transfers.py
@@ -6,8 +6,8 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import requests
 from _arbutuswalk.routing import choose
 from _arbutuswalk.routing import upstreams
 
@@ -41,7 +41,9 @@
 
 
 def _ends_before_leaving(
-    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
 ) -> bool:
     left_s = row.leaves_at - entry.now() - LEAVE_MARGIN_S
     needed_s = request.remaining_tokens / entry.slot_speed(row.name)
@@ -49,7 +51,9 @@
 
 
 async def export_cache(
-    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
 ) -> None:
     """Copies a request's cache to the upstream likely to continue it.
 
@@ -76,7 +80,9 @@
 
 
 async def _download_cache(
-    entry: entry_state.Entry, row: upstreams.Row, request: requests.ModelRequest
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
 ) -> bytes:
     url = f"http://{row.said['address']}/v1/cache/{request.request_id}"
     async with entry.session.get(url) as response:
--- a/src/_arbutuswalk/entry/upstream_announcements.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -14,9 +14,9 @@
 from _arbutuswalk.base import settings
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import http
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import peer_updates
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.routing import announcements
@@ -188,4 +188,4 @@
 def _problem_response(
     title: str, detail: str, status: int
 ) -> responses.Response:
-    return http.problem_response(requests.refusal(title, detail, status))
+    return http.problem_response(model_requests.refusal(title, detail, status))
--- a/src/_arbutuswalk/standin/runner.py
+++ b/src/_arbutuswalk/standin/runner.py
@@ -11,7 +11,7 @@
 from starlette import routing
 
 from _arbutuswalk.base import settings
-from _arbutuswalk.entry import requests as shapes
+from _arbutuswalk.entry import model_requests as shapes
 from _arbutuswalk.standin import engine as engines
 from _arbutuswalk.standin import unit as units
 
@@ -56,12 +56,12 @@
         return applications.Starlette(
             routes=[
                 routing.Route(
-                    shapes.PATHS["completions"],
+                    shapes.ROUTE_PATHS["completions"],
                     self._completion("completions"),
                     methods=post,
                 ),
                 routing.Route(
-                    shapes.PATHS["chat"],
+                    shapes.ROUTE_PATHS["chat"],
                     self._completion("chat"),
                     methods=post,
                 ),
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -9,8 +9,8 @@
 import worlds
 from hypothesis import stateful
 
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import model_routes
-from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.entry import upstream_announcements
@@ -95,7 +95,7 @@
         return await self._generate(runner, order, deadlines, feed, mode)
 
     async def _generate(self, runner, order, deadlines, feed, mode):
-        prompt = requests.prompt_of(order.body)
+        prompt = model_requests.prompt_of(order.body)
         reference = engine.reference_of(prompt)
         nonce, place = engine.start_of(order.body.get("continue_from"))
         stop = self.rng.randint(place, MAX_TOKENS)
@@ -194,7 +194,7 @@
             "stream": True,
         }
         raw = json.dumps(body).encode()
-        request = requests.ModelRequest(
+        request = model_requests.ModelRequest(
             request_id=f"{entry.name}~{self.number}",
             workspace="w",
             weight=1,
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -8,9 +8,9 @@
 import virtual
 import worlds
 
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import peer_updates
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import requests
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.routing import upstreams
@@ -118,7 +118,7 @@
 class TestReservations:
     def make_request(self, entry):
         body = {"model": "model", "prompt": "ref:i0", "max_tokens": 4}
-        return requests.ModelRequest(
+        return model_requests.ModelRequest(
             request_id="a~1",
             workspace="w",
             weight=1,
