--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -15,7 +15,7 @@
 from _arbutuswalk.entry import http
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import model_routes
-from _arbutuswalk.entry import services
+from _arbutuswalk.entry import service_routes
 from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.state import outcomes
 
@@ -50,7 +50,7 @@
 
 def _make_fallback_app(entry: entry_state.Entry) -> applications.Starlette:
     methods = ["GET", "POST", "PUT", "PATCH", "DELETE"]
-    service = services.ServiceRoute(entry=entry)
+    service = service_routes.ServiceRoute(entry=entry)
     return applications.Starlette(
         routes=[
             routing.Route("/v1/services/{rest:path}", service, methods=methods),
--- a/src/_arbutuswalk/entry/at_most_once.py
+++ b/src/_arbutuswalk/entry/at_most_once.py
@@ -15,7 +15,7 @@
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import exchange
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import services
+from _arbutuswalk.entry import service_routes
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
@@ -37,7 +37,7 @@
 
 
 async def run_call(
-    entry: entry_state.Entry, call: services.ServiceCall
+    entry: entry_state.Entry, call: service_routes.ServiceCall
 ) -> Outcome:
     """Runs a call at most once and returns its answer or known outcome.
 
@@ -66,12 +66,14 @@
 
 
 async def _commit_and_send(
-    entry: entry_state.Entry, call: services.ServiceCall, digest: str
+    entry: entry_state.Entry, call: service_routes.ServiceCall, digest: str
 ) -> Outcome:
     """Commits the intent and sends; retries only if no connection opened."""
     avoid: set[str] = set()
     for _ in range(MAX_CONNECT_ATTEMPTS):
-        row = await services.wait_for_upstream(entry, call, frozenset(avoid))
+        row = await service_routes.wait_for_upstream(
+            entry, call, frozenset(avoid)
+        )
         if row is None:
             return _not_run("no upstream is up")
         attempt = uuid.uuid4().hex
@@ -94,7 +96,7 @@
 
 async def _not_granted(
     entry: entry_state.Entry,
-    call: services.ServiceCall,
+    call: service_routes.ServiceCall,
     attempt: str,
     outcome: object,
 ) -> Outcome:
@@ -111,7 +113,7 @@
 
 async def _send(
     entry: entry_state.Entry,
-    call: services.ServiceCall,
+    call: service_routes.ServiceCall,
     attempt: str,
     row: upstreams.Row,
 ) -> Outcome | None:
@@ -122,7 +124,7 @@
     try:
         result = await exchange.run(
             entry.pool,
-            services.make_order(call, row),
+            service_routes.make_order(call, row),
             timeout_s=entry.settings["service_timeout_s"],
             fresh=True,
         )
@@ -132,7 +134,9 @@
         entry.record_usage(
             row.said["instance"], call.workspace, entry.now() - started
         )
-    services.record_evidence(entry, call, row, result, entry.now() - started)
+    service_routes.record_evidence(
+        entry, call, row, result, entry.now() - started
+    )
     if isinstance(result, exchange.NotOpened):
         row.failed_at = entry.now()
         return await _withdraw(entry, call, attempt)
@@ -143,7 +147,7 @@
 
 
 async def _withdraw(
-    entry: entry_state.Entry, call: services.ServiceCall, attempt: str
+    entry: entry_state.Entry, call: service_routes.ServiceCall, attempt: str
 ) -> Outcome | None:
     command = commands.WithdrawCall(call.workspace, call.key, attempt)
     outcome = await entry.control.submit(command, timeout_s=COMMIT_TIMEOUT_S)
@@ -155,7 +159,7 @@
 
 async def _resolve(
     entry: entry_state.Entry,
-    call: services.ServiceCall,
+    call: service_routes.ServiceCall,
     attempt: str,
     row: upstreams.Row,
 ) -> Outcome:
@@ -213,7 +217,7 @@
 
 async def _answer_resend(
     entry: entry_state.Entry,
-    call: services.ServiceCall,
+    call: service_routes.ServiceCall,
     state: outcomes.CallState,
 ) -> Outcome:
     """Answers a resend from the call's record, waiting while it runs."""
@@ -262,7 +266,7 @@
 
 def _begin_command(
     entry: entry_state.Entry,
-    call: services.ServiceCall,
+    call: service_routes.ServiceCall,
     digest: str,
     attempt: str,
     row: upstreams.Row,
@@ -280,7 +284,7 @@
 
 
 def _finish_command(
-    call: services.ServiceCall, attempt: str, reply: exchange.Reply
+    call: service_routes.ServiceCall, attempt: str, reply: exchange.Reply
 ) -> commands.FinishCall:
     body = reply.body
     status, content_type = reply.status, reply.content_type
@@ -298,7 +302,7 @@
     )
 
 
-def _call_digest(call: services.ServiceCall) -> str:
+def _call_digest(call: service_routes.ServiceCall) -> str:
     request_line = (
         f"{call.method} {call.upstream['name']} {call.path}\n".encode()
     )
@@ -306,7 +310,7 @@
 
 
 def _withdraw_in_background(
-    entry: entry_state.Entry, call: services.ServiceCall, attempt: str
+    entry: entry_state.Entry, call: service_routes.ServiceCall, attempt: str
 ) -> None:
     _record_in_background(
         entry, commands.WithdrawCall(call.workspace, call.key, attempt)
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -10,7 +10,7 @@
 
 from _arbutuswalk.entry import at_most_once
 from _arbutuswalk.entry import exchange
-from _arbutuswalk.entry import services
+from _arbutuswalk.entry import service_routes
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import entries
@@ -131,7 +131,7 @@
         entry = self.entries[name]
         upstream = inventories.find_upstream(entry.inventory, "claims")
         self.number += 1
-        call = services.ServiceCall(
+        call = service_routes.ServiceCall(
             call_id=f"{name}~{self.number}",
             workspace="w",
             upstream=upstream,
