--- a/src/_arbutuswalk/entry/control_sync.py
+++ b/src/_arbutuswalk/entry/control_sync.py
@@ -7,9 +7,9 @@
 from _arbutuswalk.base import clock
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import control_client
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
@@ -89,7 +89,7 @@
             row["link_address"] for row in entry.peers.values()
         ]
     if "quarantine" in parts:
-        suspicion.follow_isolations(entry)
+        crash_quarantine.apply_isolations(entry)
     if "moves" in parts:
         _drop_ended_cut_offs(entry)
     if "leaving" in parts:
@@ -136,7 +136,7 @@
         "upstreams": upstream_rows,
         "evidence": entry.evidence.report(),
         "cut": ["|".join(side) for side in entry.evidence.cut],
-        "active": suspicion.occupied(entry),
+        "active": crash_quarantine.occupied_upstreams(entry),
         "usage": entry.slot_usage_ms,
         "waiting": {name: len(q) for name, q in entry.queues.items() if q},
     }
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/crash_quarantine.py
@@ -234,7 +234,7 @@
     return False
 
 
-def occupied(entry: entry_state.Entry) -> list[str]:
+def occupied_upstreams(entry: entry_state.Entry) -> list[str]:
     """Returns ids of upstreams that run a request of this entry.
 
     A broken attempt counts until it is known whether its upstream died, since
@@ -247,7 +247,7 @@
     ]
 
 
-def follow_isolations(entry: entry_state.Entry) -> None:
+def apply_isolations(entry: entry_state.Entry) -> None:
     """Applies isolations and moves other requests off reserved upstreams."""
     isolations = entry.view.get("quarantine", {}).get("isolations", {})
     for identity, row in entry.upstreams.rows.items():
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -4,10 +4,10 @@
 import uuid
 
 from _arbutuswalk.base import events
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.limits import fair
 from _arbutuswalk.routing import evidence
@@ -96,14 +96,16 @@
     entry, request = state.entry, state.request
     until_ms = entry.convicted_until_ms(request.fingerprint)
     if until_ms:
-        return suspicion.convicted_problem(request, until_ms)
+        return crash_quarantine.convicted_problem(request, until_ms)
     avoid = frozenset(state.avoid)
     row_to_retry, state.row_to_retry = state.row_to_retry, None
     ticket, state.ticket = state.ticket, None
     if entry.is_suspect(request.fingerprint):
         if ticket is not None:
             placement.leave_queue(entry, ticket)
-        return await suspicion.place_isolated(entry, request, avoid=avoid)
+        return await crash_quarantine.place_isolated(
+            entry, request, avoid=avoid
+        )
     now = entry.now()
     if row_to_retry and row_to_retry.health(now) is upstreams.Health.USABLE:
         placement.reserve(row_to_retry, request)
@@ -136,7 +138,7 @@
         if isinstance(result, attempts.Broke | attempts.Silent):
             row.broken.add(request.fingerprint)
     except asyncio.CancelledError:
-        suspicion.release_isolation_in_background(entry, request)
+        crash_quarantine.release_isolation_in_background(entry, request)
         raise
     finally:
         placement.release(entry, row, request)
@@ -211,7 +213,7 @@
     entry, request = state.entry, state.request
     if isinstance(result, attempts.Completed):
         request.answer.finish()
-        await suspicion.release_isolation(entry, request, cleared=True)
+        await crash_quarantine.release_isolation(entry, request, cleared=True)
         return
     reason = f"{type(result).__name__}: {result}"
     events.log(events.Event.ATTEMPT_FAILED, request.request_id, row.key, reason)
@@ -225,9 +227,11 @@
     state.budget_exempt = died or _left_on_notice(state, row, result)
     if blamed == request.fingerprint:
         until_ms = entry.convicted_until_ms(request.fingerprint)
-        request.answer.fail(suspicion.convicted_problem(request, until_ms))
+        request.answer.fail(
+            crash_quarantine.convicted_problem(request, until_ms)
+        )
         return
-    await suspicion.release_isolation(entry, request, cleared=False)
+    await crash_quarantine.release_isolation(entry, request, cleared=False)
     _prepare_retry(state, row, result)
 
 
@@ -271,11 +275,11 @@
         return False, ""
     if row.health(state.entry.now()) is upstreams.Health.LEAVING:
         return False, ""
-    if not await suspicion.is_dead(state.entry, row):
+    if not await crash_quarantine.is_dead(state.entry, row):
         return False, ""
     if row.health(state.entry.now()) is upstreams.Health.LEAVING:
         return False, ""
-    return True, await suspicion.report_death(state.entry, row)
+    return True, await crash_quarantine.report_death(state.entry, row)
 
 
 def _left_on_notice(
--- a/src/_arbutuswalk/entry/maintenance.py
+++ b/src/_arbutuswalk/entry/maintenance.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from _arbutuswalk.base import events
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import model_routes
 from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import request_copies
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.routing import upstreams
 
 TICK_INTERVAL_S = 0.1
@@ -25,7 +25,7 @@
         _expire_answers(entry)
         _take_over_orphaned_copies(entry)
         request_copies.expire(entry)
-        suspicion.expire_peer_suspects(entry)
+        crash_quarantine.expire_peer_suspects(entry)
         entry.pool.tick()
         for name in list(entry.queues):
             placement.place_queued(entry, name)
--- a/src/_arbutuswalk/entry/model_routes.py
+++ b/src/_arbutuswalk/entry/model_routes.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 from _arbutuswalk.base import events
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import delivery
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import execution
@@ -11,7 +12,6 @@
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import placement
 from _arbutuswalk.entry import request_copies
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.limits import fair
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
@@ -155,7 +155,7 @@
                 "upstreams died while running this request; change it before"
                 f" sending it again, or wait until {until_ms} ms",
                 "no",
-                suspicion.seconds_until(entry, until_ms),
+                crash_quarantine.seconds_until(entry, until_ms),
             )
         return None
 
--- a/src/_arbutuswalk/entry/upstream_announcements.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -12,12 +12,12 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.base import settings
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import http
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import peer_updates
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.routing import announcements
 from _arbutuswalk.routing import upstreams
@@ -102,7 +102,7 @@
             announcement["incarnation"],
         )
         _apply_leaving_from_view(entry)
-        suspicion.follow_isolations(entry)
+        crash_quarantine.apply_isolations(entry)
         _report_replaced_death(entry, outcome.replaced)
     elif outcome.now_leaving:
         transfers.start_moving(entry, outcome.row)
@@ -121,7 +121,7 @@
         elif update["kind"] == peer_updates.CACHE_EVENT:
             _apply_cache_event(entry, update["event"])
         elif update["kind"] == peer_updates.SUSPECTS:
-            suspicion.add_peer_suspects(entry, update["fingerprints"])
+            crash_quarantine.add_peer_suspects(entry, update["fingerprints"])
 
 
 def _report_replaced_death(
@@ -143,7 +143,7 @@
     if not (replaced.broken or replaced.active):
         return
     if replaced.health(replaced.heard_at) is not upstreams.Health.LEAVING:
-        report = suspicion.report_death(entry, replaced)
+        report = crash_quarantine.report_death(entry, replaced)
         entry.track_task(asyncio.ensure_future(report))
 
 
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -9,9 +9,9 @@
 import worlds
 from hypothesis import stateful
 
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import model_routes
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.load import checks
@@ -125,7 +125,11 @@
     def __init__(self):
         super().__init__()
         self.loop = virtual.VirtualLoop()
-        self.saved = (attempts.run, suspicion._probe, transfers.export_cache)
+        self.saved = (
+            attempts.run,
+            crash_quarantine._probe,
+            transfers.export_cache,
+        )
         self.sent = []
         self.poisoned = []
         self.number = 0
@@ -140,7 +144,7 @@
             for name in ("a", "b")
         ]
         attempts.run = self.fleet.run
-        suspicion._probe = self._probe
+        crash_quarantine._probe = self._probe
         transfers.export_cache = self._no_export
         for entry in self.entries:
             entry.start_request = lambda request, entry=entry: (
@@ -162,7 +166,7 @@
                 entry.view = json.loads(
                     json.dumps(view.parts_since(self.control.tables, -1))
                 )
-                suspicion.follow_isolations(entry)
+                crash_quarantine.apply_isolations(entry)
                 self._report_active(entry)
                 for runner in self.fleet.runners.values():
                     if runner.alive:
@@ -174,7 +178,7 @@
         """What the entry's next request for a stamp tells the leader."""
         self.control.seen[entry.name] = (
             self.control.index,
-            suspicion.occupied(entry),
+            crash_quarantine.occupied_upstreams(entry),
         )
 
     def _announce(self, entry, runner):
@@ -288,7 +292,9 @@
                 self._pass(100)
                 self._check()
         finally:
-            attempts.run, suspicion._probe, transfers.export_cache = self.saved
+            attempts.run, crash_quarantine._probe, transfers.export_cache = (
+                self.saved
+            )
             virtual.close(self.loop)
 
     def _check(self):
--- a/testing/test_suspicion.py
+++ b/testing/test_crash_quarantine.py
@@ -8,10 +8,10 @@
 import virtual
 import worlds
 
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import peer_updates
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.wire.gen.arbutus import ttypes
@@ -29,8 +29,8 @@
 
         server = await asyncio.start_server(end, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        probe = await suspicion._probe(f"127.0.0.1:{port}")
-        assert probe == suspicion._REFUSED
+        probe = await crash_quarantine._probe(f"127.0.0.1:{port}")
+        assert probe == crash_quarantine._REFUSED
 
     async def test_any_response_counts_as_answered(self):
         async def answer(reader, writer):
@@ -42,20 +42,21 @@
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         assert (
-            await suspicion._probe(f"127.0.0.1:{port}") == suspicion._ANSWERED
+            await crash_quarantine._probe(f"127.0.0.1:{port}")
+            == crash_quarantine._ANSWERED
         )
         server.close()
 
     async def test_silent_listener_counts_as_no_answer(self, monkeypatch):
-        monkeypatch.setattr(suspicion, "PROBE_TIMEOUT_S", 0.05)
+        monkeypatch.setattr(crash_quarantine, "PROBE_TIMEOUT_S", 0.05)
 
         async def hold(reader, _):
             await reader.read()
 
         server = await asyncio.start_server(hold, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        probe = await suspicion._probe(f"127.0.0.1:{port}")
-        assert probe == suspicion._NO_ANSWER
+        probe = await crash_quarantine._probe(f"127.0.0.1:{port}")
+        assert probe == crash_quarantine._NO_ANSWER
         server.close()
 
 
@@ -89,10 +90,10 @@
     def test_peer_suspect_expires(self, loop, entries):
         self.receive_suspects(entries[1], ["f"])
         loop.run_until_complete(
-            asyncio.sleep(suspicion.PEER_SUSPECT_TTL_S + 0.1)
+            asyncio.sleep(crash_quarantine.PEER_SUSPECT_TTL_S + 0.1)
         )
         assert not entries[1].is_suspect("f")
-        suspicion.expire_peer_suspects(entries[1])
+        crash_quarantine.expire_peer_suspects(entries[1])
         assert entries[1].peer_suspects == {}
 
     def test_death_report_sends_all_running_fingerprints_to_peers(
@@ -109,7 +110,7 @@
         upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
         row = entry.upstreams.rows["u0"]
         row.broken.add("f")
-        loop.run_until_complete(suspicion.report_death(entry, row))
+        loop.run_until_complete(crash_quarantine.report_death(entry, row))
         assert sent_updates == [
             {"kind": peer_updates.SUSPECTS, "fingerprints": ["f"]}
         ]
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -6,8 +6,8 @@
 import stream_machine
 import twins
 
+from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import execution
-from _arbutuswalk.entry import suspicion
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import framing
 
@@ -42,7 +42,7 @@
 
     def test_reclaim_reported_as_a_crash_is_detected(self, monkeypatch):
         async def report_all(state, row, result):
-            blamed = await suspicion.report_death(state.entry, row)
+            blamed = await crash_quarantine.report_death(state.entry, row)
             return True, blamed
 
         monkeypatch.setattr(execution, "_look_for_death", report_all)
