--- a/src/_arbutuswalk/entry/control_sync.py
+++ b/src/_arbutuswalk/entry/control_sync.py
@@ -9,8 +9,8 @@
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import migration
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import transfers
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import outcomes
@@ -97,7 +97,7 @@
             entry.upstreams, parts["leaving"], entry.now()
         )
         for row in marked:
-            transfers.start_moving(entry, row)
+            migration.start_moving(entry, row)
     if parts:
         for name in list(entry.queues):
             placement.place_queued(entry, name)
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -6,9 +6,9 @@
 from _arbutuswalk.base import events
 from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import migration
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import transfers
 from _arbutuswalk.limits import fair
 from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
@@ -168,7 +168,7 @@
         await asyncio.wait((attempt, move), return_when=asyncio.FIRST_COMPLETED)
         if attempt.done():
             return attempt.result()
-        await transfers.export_cache(entry, row, request)
+        await migration.copy_cache(entry, row, request)
         if attempt.done():
             return attempt.result()
         return attempts.Stopped()
--- a/src/_arbutuswalk/entry/transfers.py
+++ b/src/_arbutuswalk/entry/migration.py
@@ -50,7 +50,7 @@
     return needed_s < left_s
 
 
-async def export_cache(
+async def copy_cache(
     entry: entry_state.Entry,
     row: upstreams.Row,
     request: model_requests.ModelRequest,
--- a/src/_arbutuswalk/entry/upstream_announcements.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -15,10 +15,10 @@
 from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import entry_state
 from _arbutuswalk.entry import http
+from _arbutuswalk.entry import migration
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import peer_updates
 from _arbutuswalk.entry import placement
-from _arbutuswalk.entry import transfers
 from _arbutuswalk.routing import announcements
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.wire.gen.arbutus import ttypes
@@ -105,7 +105,7 @@
         crash_quarantine.apply_isolations(entry)
         _report_replaced_death(entry, outcome.replaced)
     elif outcome.now_leaving:
-        transfers.start_moving(entry, outcome.row)
+        migration.start_moving(entry, outcome.row)
     placement.place_queued(entry, announcement["upstream"])
     return None
 
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -10,9 +10,9 @@
 from hypothesis import stateful
 
 from _arbutuswalk.entry import crash_quarantine
+from _arbutuswalk.entry import migration
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import model_routes
-from _arbutuswalk.entry import transfers
 from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.load import checks
 from _arbutuswalk.load import workload
@@ -128,7 +128,7 @@
         self.saved = (
             attempts.run,
             crash_quarantine._probe,
-            transfers.export_cache,
+            migration.copy_cache,
         )
         self.sent = []
         self.poisoned = []
@@ -145,7 +145,7 @@
         ]
         attempts.run = self.fleet.run
         crash_quarantine._probe = self._probe
-        transfers.export_cache = self._no_export
+        migration.copy_cache = self._no_export
         for entry in self.entries:
             entry.start_request = lambda request, entry=entry: (
                 model_routes.start_task(entry, request)
@@ -292,7 +292,7 @@
                 self._pass(100)
                 self._check()
         finally:
-            attempts.run, crash_quarantine._probe, transfers.export_cache = (
+            attempts.run, crash_quarantine._probe, migration.copy_cache = (
                 self.saved
             )
             virtual.close(self.loop)
