--- a/src/_arbutuswalk/entry/entry_state.py
+++ b/src/_arbutuswalk/entry/entry_state.py
@@ -61,7 +61,8 @@
         slot_speeds: Measured tokens per second of a slot, by upstream name.
         slot_usage_ms: Slot milliseconds by instance and workspace since the
             start.
-        tasks: Background tasks, referenced so that they are not collected.
+        background_tasks: Running tasks, referenced so that they are not
+            garbage-collected.
     """
 
     def __init__(
@@ -101,7 +102,7 @@
         self.death_reports: dict[str, Any] = {}
         self.copies: dict[str, Any] = {}
         self.peer_links: dict[str, link.Link] = {}
-        self.tasks: set[asyncio.Future] = set()
+        self.background_tasks: set[asyncio.Future] = set()
         self.slot_speeds: dict[str, float] = {}
         self.slot_usage_ms: dict[str, dict[str, int]] = {}
         self.metrics = metrics.Metrics()
@@ -181,8 +182,8 @@
 
     def track_task(self, task: asyncio.Future) -> None:
         """Keeps a reference to a background task until it is done."""
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     def is_suspect(self, fingerprint: str) -> bool:
         """Returns whether a request is suspected of crashing an upstream."""
--- a/src/_arbutuswalk/entry/main.py
+++ b/src/_arbutuswalk/entry/main.py
@@ -173,7 +173,7 @@
         not request.answer.ended or request.answer.readers
         for request in entry.requests.values()
     )
-    return running or bool(entry.running_calls) or bool(entry.tasks)
+    return running or bool(entry.running_calls) or bool(entry.background_tasks)
 
 
 async def _mark_gone(entry: entry_state.Entry) -> None:
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -168,7 +168,7 @@
         for owner, _, task in self.sent:
             if owner == name and not task.done():
                 task.cancel()
-        for task in list(entry.tasks):
+        for task in list(entry.background_tasks):
             task.cancel()
         self.loop.run_until_complete(asyncio.sleep(0))
         if told:
