--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -3,9 +3,9 @@
 import asyncio
 import random
 
+import entry_fixtures
 import hypothesis.strategies as st
 import virtual
-import worlds
 from hypothesis import stateful
 
 from _arbutuswalk.entry import at_most_once
@@ -86,7 +86,7 @@
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
         self.rng = random.Random(seed)
-        self.control = worlds.Control(self.loop, self.rng)
+        self.control = entry_fixtures.Control(self.loop, self.rng)
         self.exchange = Exchange(self.loop, self.rng)
         self.control.modes = CONTROL_MODES
         self.exchange.modes = EXCHANGE_MODES
@@ -96,13 +96,13 @@
 
     def _start_entry(self, name):
         self.incarnation += 1
-        entry = worlds.make_entry(
+        entry = entry_fixtures.make_entry(
             self.loop, self.control, name, self.incarnation
         )
         for identity in UPSTREAMS:
             upstreams.announce(
                 entry.upstreams,
-                worlds.said(identity, "claims"),
+                entry_fixtures.said(identity, "claims"),
                 heard_at=self.loop.time(),
             )
         self.entries[name] = entry
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -8,7 +8,7 @@
 import subprocess
 import sys
 
-import worlds
+import entry_fixtures
 
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.state import commands
@@ -165,7 +165,7 @@
             self.start_entry(i)
         await until(self.whole_group)
         outcome = await self.submit(
-            commands.Apply("first", "test", 0, worlds.INVENTORY)
+            commands.Apply("first", "test", 0, entry_fixtures.INVENTORY)
         )
         assert isinstance(outcome, outcomes.Accepted)
 
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -4,9 +4,9 @@
 import json
 import random
 
+import entry_fixtures
 import hypothesis.strategies as st
 import virtual
-import worlds
 from hypothesis import stateful
 
 from _arbutuswalk.entry import crash_quarantine
@@ -42,7 +42,7 @@
 
     def said(self):
         self.sequence += 1
-        return worlds.said(
+        return entry_fixtures.said(
             self.identity,
             "model",
             incarnation=self.incarnation,
@@ -137,10 +137,10 @@
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
         self.rng = random.Random(seed)
-        self.control = worlds.Control(self.loop, self.rng)
+        self.control = entry_fixtures.Control(self.loop, self.rng)
         self.fleet = Fleet(self.loop, self.rng)
         self.entries = [
-            worlds.make_entry(self.loop, self.control, name)
+            entry_fixtures.make_entry(self.loop, self.control, name)
             for name in ("a", "b")
         ]
         attempts.run = self.fleet.run
--- a/testing/test_cli.py
+++ b/testing/test_cli.py
@@ -4,8 +4,8 @@
 import subprocess
 import sys
 
+import entry_fixtures
 import pytest
-import worlds
 
 from _arbutuswalk.cli import differences
 
@@ -71,17 +71,17 @@
 
 class TestDifferences:
     def test_changes_are_named_by_path(self):
-        new = {**worlds.INVENTORY, "domains": ["d1"]}
-        lines = differences.describe(worlds.INVENTORY, new)
+        new = {**entry_fixtures.INVENTORY, "domains": ["d1"]}
+        lines = differences.describe(entry_fixtures.INVENTORY, new)
         assert lines == ["~ domains: ['d1', 'd2'] -> ['d1']"]
 
     def test_named_rows_are_compared_by_name(self):
-        upstreams = [dict(u) for u in worlds.INVENTORY["upstreams"]]
+        upstreams = [dict(u) for u in entry_fixtures.INVENTORY["upstreams"]]
         upstreams[0]["version"] = "v2"
-        new = {**worlds.INVENTORY, "upstreams": upstreams[::-1]}
-        lines = differences.describe(worlds.INVENTORY, new)
+        new = {**entry_fixtures.INVENTORY, "upstreams": upstreams[::-1]}
+        lines = differences.describe(entry_fixtures.INVENTORY, new)
         assert lines == ["~ upstreams.model.version: 'v1' -> 'v2'"]
 
     def test_first_inventory_is_all_new(self):
-        lines = differences.describe(None, worlds.INVENTORY)
+        lines = differences.describe(None, entry_fixtures.INVENTORY)
         assert all(line.startswith("+ ") for line in lines)
--- a/testing/test_crash_quarantine.py
+++ b/testing/test_crash_quarantine.py
@@ -4,9 +4,9 @@
 import json
 import random
 
+import entry_fixtures
 import pytest
 import virtual
-import worlds
 
 from _arbutuswalk.entry import crash_quarantine
 from _arbutuswalk.entry import model_requests
@@ -69,8 +69,10 @@
 
 @pytest.fixture
 def entries(loop):
-    control = worlds.Control(loop, random.Random(1))
-    return [worlds.make_entry(loop, control, name) for name in ENTRY_NAMES]
+    control = entry_fixtures.Control(loop, random.Random(1))
+    return [
+        entry_fixtures.make_entry(loop, control, name) for name in ENTRY_NAMES
+    ]
 
 
 class TestPeerSuspects:
@@ -106,7 +108,7 @@
             lambda entry, update: sent_updates.append(update),
         )
         entry = entries[0]
-        announcement = worlds.said("u0", "model")
+        announcement = entry_fixtures.said("u0", "model")
         upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
         row = entry.upstreams.rows["u0"]
         row.broken.add("f")
@@ -137,7 +139,7 @@
     ):
         """With two of four upstreams dead, both others may be reserved."""
         entry = entries[0]
-        announcement = worlds.said("u0", "model")
+        announcement = entry_fixtures.said("u0", "model")
         upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
         row = entry.upstreams.rows["u0"]
         row.isolated = "suspect"
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -5,12 +5,12 @@
 import random
 
 import asgi
+import entry_fixtures
 import hypothesis
 import hypothesis.strategies as st
 import pytest
 import stream_machine
 import virtual
-import worlds
 
 from _arbutuswalk.entry import app
 from _arbutuswalk.entry import control_sync
@@ -34,9 +34,9 @@
     def __init__(self):
         self.loop = virtual.VirtualLoop()
         self.rng = random.Random(5)
-        self.control = worlds.Control(self.loop, self.rng)
+        self.control = entry_fixtures.Control(self.loop, self.rng)
         self.fleet = stream_machine.Fleet(self.loop, self.rng)
-        self.entry = worlds.make_entry(self.loop, self.control, "a")
+        self.entry = entry_fixtures.make_entry(self.loop, self.control, "a")
         self.app = app.make_app(self.entry)
         for runner in self.fleet.runners.values():
             announcement = runner.said()
@@ -178,8 +178,8 @@
             {},
             [],
             {"id": "u0"},
-            worlds.said("", "model"),
-            worlds.said("x", "model", address="nowhere"),
+            entry_fixtures.said("", "model"),
+            entry_fixtures.said("x", "model", address="nowhere"),
         ],
     )
     def test_announcement(self, edge, said):
@@ -187,7 +187,7 @@
 
     def test_announcement_of_a_known_id_from_another_address(self, edge):
         address_before = edge.entry.upstreams.rows["u0"].said["address"]
-        announcement = worlds.said(
+        announcement = entry_fixtures.said(
             "u0", "model", address="127.0.0.1:77", incarnation=1, sequence=50
         )
         assert edge.announce(announcement).status == 409
@@ -417,7 +417,7 @@
         edge.control.commit(
             commands.SetEntryState("a", edge.entry.incarnation, "draining")
         )
-        worlds.refresh(edge.entry, edge.control)
+        entry_fixtures.refresh(edge.entry, edge.control)
         listed = edge.get("/v1/entries").json
         assert listed["entries"] == []
         assert listed["ttl_s"] == app.ENTRIES_TTL_S
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -3,8 +3,8 @@
 import copy
 import random
 
+import entry_fixtures
 import pytest
-import worlds
 
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import compare
@@ -23,7 +23,7 @@
 
 
 def inventory(**versions):
-    made = copy.deepcopy(worlds.INVENTORY)
+    made = copy.deepcopy(entry_fixtures.INVENTORY)
     for upstream in made["upstreams"]:
         upstream["bake_s"] = BAKE_S
         upstream["rollout_deadline_s"] = DEADLINE_S
--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -8,8 +8,8 @@
 import signal
 
 import aiohttp
+import entry_fixtures
 import processes
-import worlds
 
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.state import commands
@@ -148,7 +148,7 @@
         world.group.kill("control-1")
         client = control_client.ControlClient(addresses=world.control)
         outcome = await client.submit(
-            commands.Apply("second", "test", 1, worlds.INVENTORY),
+            commands.Apply("second", "test", 1, entry_fixtures.INVENTORY),
             timeout_s=3.0,
         )
         await client.stop()
@@ -157,7 +157,7 @@
         world.start_control(1)
         await processes.until(world.whole_group)
         again = await world.submit(
-            commands.Apply("second", "test", 1, worlds.INVENTORY)
+            commands.Apply("second", "test", 1, entry_fixtures.INVENTORY)
         )
         assert isinstance(again, outcomes.Accepted)
 
@@ -187,7 +187,7 @@
         name = f"control-{world.control.index(leader)}"
         world.group.freeze(name)
         outcome = await world.submit(
-            commands.Apply("second", "test", 1, worlds.INVENTORY)
+            commands.Apply("second", "test", 1, entry_fixtures.INVENTORY)
         )
         assert outcome == outcomes.Accepted(revision=2)
         world.group.thaw(name)
@@ -208,7 +208,7 @@
 
         await processes.until(gone)
         outcome = await world.submit(
-            commands.Apply("second", "test", 1, worlds.INVENTORY)
+            commands.Apply("second", "test", 1, entry_fixtures.INVENTORY)
         )
         assert outcome == outcomes.Accepted(revision=2)
         world.group.thaw("entry-0")
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -1,9 +1,9 @@
 """Upstream table, prefix index, choice and version shares."""
 
+import entry_fixtures
 import hypothesis
 import hypothesis.strategies as st
 import pytest
-import worlds
 
 from _arbutuswalk.routing import announcements
 from _arbutuswalk.routing import choose
@@ -14,7 +14,7 @@
 
 
 def row(identity, running=0, slots=4, cache_tokens=4096, price=0):
-    said = worlds.said(
+    said = entry_fixtures.said(
         identity,
         "model",
         running=running,
@@ -28,12 +28,12 @@
 
 class TestAnnouncements:
     def test_good_one_is_completed(self):
-        raw = worlds.said("u", "model")
+        raw = entry_fixtures.said("u", "model")
         assert announcements.check(raw) == raw
 
     @pytest.mark.parametrize("key", ["id", "address", "incarnation", "slots"])
     def test_missing_key_is_named(self, key):
-        raw = worlds.said("u", "model")
+        raw = entry_fixtures.said("u", "model")
         del raw[key]
         bad = announcements.check(raw)
         assert isinstance(bad, announcements.BadAnnouncement)
@@ -48,35 +48,39 @@
 @pytest.fixture
 def table():
     made = upstreams.Table()
-    upstreams.announce(made, worlds.said("u", "model"), heard_at=10.0)
+    upstreams.announce(made, entry_fixtures.said("u", "model"), heard_at=10.0)
     return made
 
 
 class TestTable:
     def test_identity_of_another_is_refused(self, table):
-        other = worlds.said("u", "model", address="127.0.0.1:66", sequence=9)
+        other = entry_fixtures.said(
+            "u", "model", address="127.0.0.1:66", sequence=9
+        )
         outcome = upstreams.announce(table, other, heard_at=10.1)
         assert isinstance(outcome, upstreams.Refused)
         assert table.rows["u"].said["address"] == "127.0.0.1:9"
 
     def test_new_incarnation_may_be_elsewhere(self, table):
-        other = worlds.said("u", "model", address="1.1.1.1:1", incarnation=2)
+        other = entry_fixtures.said(
+            "u", "model", address="1.1.1.1:1", incarnation=2
+        )
         outcome = upstreams.announce(table, other, heard_at=10.1)
         assert isinstance(outcome, upstreams.Joined)
         assert outcome.replaced is not None
 
     def test_old_incarnation_is_refused(self, table):
-        newer = worlds.said("u", "model", incarnation=5)
+        newer = entry_fixtures.said("u", "model", incarnation=5)
         upstreams.announce(table, newer, heard_at=10.1)
         outcome = upstreams.announce(
-            table, worlds.said("u", "model", sequence=99), heard_at=10.2
+            table, entry_fixtures.said("u", "model", sequence=99), heard_at=10.2
         )
         assert isinstance(outcome, upstreams.Refused)
 
     def test_late_news_change_nothing(self, table):
-        newer = worlds.said("u", "model", sequence=5, running=3)
+        newer = entry_fixtures.said("u", "model", sequence=5, running=3)
         upstreams.announce(table, newer, heard_at=11.0)
-        older = worlds.said("u", "model", sequence=4, running=1)
+        older = entry_fixtures.said("u", "model", sequence=4, running=1)
         upstreams.announce(table, older, heard_at=12.0)
         assert table.rows["u"].said["running"] == 3
         assert table.rows["u"].heard_at == 11.0
@@ -90,7 +94,7 @@
         assert not table.rows
 
     def test_leaving_upstream_gets_nothing_at_once(self, table):
-        leaving = worlds.said(
+        leaving = entry_fixtures.said(
             "u", "model", sequence=2, leaving=True, leave_in_s=3.0
         )
         outcome = upstreams.announce(table, leaving, heard_at=10.5)
@@ -108,7 +112,7 @@
         one.sent = 3
         one.ended = 1
         assert one.load == 2
-        fresh = worlds.said("u", "model", sequence=2, running=2)
+        fresh = entry_fixtures.said("u", "model", sequence=2, running=2)
         upstreams.announce(table, fresh, heard_at=10.4)
         assert one.load == 2
 
--- a/testing/test_state.py
+++ b/testing/test_state.py
@@ -1,9 +1,9 @@
 """Replicated tables: configuration, entries, quarantine, fleet, charges."""
 
+import entry_fixtures
 import hypothesis
 import hypothesis.strategies as st
 import pytest
-import worlds
 
 from _arbutuswalk.state import charges
 from _arbutuswalk.state import commands
@@ -24,7 +24,7 @@
 
 
 def configure(tables, operation, expected, operator="ann", **changes):
-    inventory = {**worlds.INVENTORY, **changes}
+    inventory = {**entry_fixtures.INVENTORY, **changes}
     command = commands.Apply(operation, operator, expected, inventory)
     return apply(tables, command)
 
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -33,7 +33,7 @@
 
     def test_suspects_on_shared_upstreams_are_detected(self, monkeypatch):
         monkeypatch.setattr(
-            stream_machine.worlds.entry_state.Entry,
+            stream_machine.entry_fixtures.entry_state.Entry,
             "is_suspect",
             lambda self, fingerprint: False,
         )
