--- a/src/_arbutuswalk/entry/app.py
+++ b/src/_arbutuswalk/entry/app.py
@@ -19,7 +19,7 @@
 from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.state import outcomes
 
-ENTRIES_TTL_S = 10
+ENTRY_LIST_TTL_S = 10
 STATUS_READ_TIMEOUT_S = 2.0
 
 
@@ -98,7 +98,7 @@
         return responses.JSONResponse(
             {
                 "entries": serving,
-                "ttl_s": ENTRIES_TTL_S,
+                "ttl_s": ENTRY_LIST_TTL_S,
                 "revision": entry.revision,
             }
         )
--- a/src/_arbutuswalk/entry/control_sync.py
+++ b/src/_arbutuswalk/entry/control_sync.py
@@ -71,7 +71,7 @@
         entry.registered = False
         return
     if reply.view_version < entry.view_version:
-        return  # a reply from older state renews no lease
+        return  # an older view is not applied and renews no lease
     _apply_view(entry, json.loads(reply.view), reply.view_version)
     had_lease = entry.now() < entry.lease_expires_at
     entry.lease_expires_at = asked_at + reply.lease_ms / clock.MS_PER_S
--- a/src/_arbutuswalk/entry/crash_quarantine.py
+++ b/src/_arbutuswalk/entry/crash_quarantine.py
@@ -18,7 +18,7 @@
 PROBE_INTERVAL_S = 0.01
 """Interval between probes of an upstream that accepts but does not answer."""
 PROBE_REQUEST = b"HEAD / HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
-REPORT_TIMEOUT_S = 5.0
+CONTROL_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.05
 EXCLUSIVE_TIMEOUT_S = 3.0
 PEER_SUSPECT_TTL_S = 2.0
@@ -136,7 +136,7 @@
         commands.ReportDeath(
             row.said["id"], row.said["incarnation"], sorted(fingerprints)
         ),
-        timeout_s=REPORT_TIMEOUT_S,
+        timeout_s=CONTROL_TIMEOUT_S,
     )
     if isinstance(outcome, outcomes.Convicted):
         entry.local_suspects -= fingerprints
@@ -219,7 +219,7 @@
     try:
         while entry.now() < deadline:
             reply = await entry.control.read(
-                "alone", row.said["id"], timeout_s=REPORT_TIMEOUT_S
+                "alone", row.said["id"], timeout_s=CONTROL_TIMEOUT_S
             )
             if _is_replaced(entry, row):
                 return False
@@ -273,7 +273,7 @@
             row.said["incarnation"],
             entry.name,
         ),
-        timeout_s=REPORT_TIMEOUT_S,
+        timeout_s=CONTROL_TIMEOUT_S,
     )
     if isinstance(outcome, outcomes.Granted):
         row.isolated = request.fingerprint
@@ -307,7 +307,7 @@
         entry.local_suspects.discard(request.fingerprint)
     await entry.control.submit(
         commands.Release(request.fingerprint, identity, cleared),
-        timeout_s=REPORT_TIMEOUT_S,
+        timeout_s=CONTROL_TIMEOUT_S,
     )
 
 
--- a/src/_arbutuswalk/entry/delivery.py
+++ b/src/_arbutuswalk/entry/delivery.py
@@ -200,7 +200,7 @@
 
 
 def completion_body(request: model_requests.ModelRequest) -> dict[str, Any]:
-    """Returns the OpenAI-style body of an answer that was not streamed."""
+    """Returns the completion object of an answer that was not streamed."""
     text = request.answer.text()
     usage = _reported_usage(request)
     if request.route == "chat":
--- a/src/_arbutuswalk/entry/main.py
+++ b/src/_arbutuswalk/entry/main.py
@@ -52,7 +52,7 @@
         "drain_s",
         "seconds for which new requests are still accepted in a drain",
         settings.is_positive,
-        float(app.ENTRIES_TTL_S),
+        float(app.ENTRY_LIST_TTL_S),
     ),
     settings.Field("drain_limit_s", "seconds", settings.is_positive, 3600.0),
     settings.Field("log_level", "an absl log level", settings.is_text, "info"),
--- a/testing/entry_fixtures.py
+++ b/testing/entry_fixtures.py
@@ -81,9 +81,11 @@
 
     Attributes:
         tables: The replicated tables.
-        modes: Possible fates of a command: ``ok``, ``lost`` (not committed),
+        modes: Possible outcomes of a command: ``ok``, ``lost`` (not committed),
             ``deaf`` (committed, answer lost) or ``late`` (committed after the
             sender timed out).
+        entry_reports: Index and occupied upstreams that an entry last
+            reported, by entry.
     """
 
     def __init__(self, loop, rng):
@@ -92,14 +94,14 @@
         self.tables = state_tables.Tables()
         self.index = 0
         self.modes = ["ok"]
-        self.seen = {}
+        self.entry_reports = {}
 
     def runs_alone(self, upstream):
-        """Returns what the leader concludes from the reports of the entries."""
+        """Returns whether all entries report a reserved upstream as idle."""
         isolation = self.tables.isolations.get(upstream)
         return isolation is not None and all(
             version >= isolation.index and upstream not in active
-            for version, active in self.seen.values()
+            for version, active in self.entry_reports.values()
         )
 
     def commit(self, command):
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -176,7 +176,7 @@
 
     def _report_active(self, entry):
         """What the entry's next request for a stamp tells the leader."""
-        self.control.seen[entry.name] = (
+        self.control.entry_reports[entry.name] = (
             self.control.index,
             crash_quarantine.occupied_upstreams(entry),
         )
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -420,7 +420,7 @@
         entry_fixtures.refresh(edge.entry, edge.control)
         listed = edge.get("/v1/entries").json
         assert listed["entries"] == []
-        assert listed["ttl_s"] == app.ENTRIES_TTL_S
+        assert listed["ttl_s"] == app.ENTRY_LIST_TTL_S
 
 
 class TestServices:
