--- a/src/_arbutuswalk/entry/control_client.py
+++ b/src/_arbutuswalk/entry/control_client.py
@@ -1,4 +1,8 @@
-"""Talks to the control group: finds the leader, resends, goes round cuts."""
+"""Client of the control group.
+
+Finds the leader, resends messages, and relays through other entries when no
+control process can be reached directly.
+"""
 
 import asyncio
 import dataclasses
@@ -11,13 +15,13 @@
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-CALL_TIMEOUT_S = 1.5
-PAUSE_S = 0.05
+ATTEMPT_TIMEOUT_S = 1.5
+RETRY_INTERVAL_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Unreachable:
-    """No leader answered in time; the command may be committed or not."""
+    """No leader answered in time; the command may or may not be committed."""
 
     reason: str
 
@@ -30,23 +34,23 @@
 
 
 class ControlClient:
-    """Calls to whichever control process leads.
+    """Sends messages to the leader of the control group.
 
     Attributes:
-        addresses: Control processes from the settings.
-        relays: Other entries' link addresses, tried when no control process
-            answers directly.
-        links: Link by address.
-        preferred: Address that answered last.
+        addresses: Addresses of the control processes, from the settings.
+        relay_addresses: Link addresses of other entries, tried when no
+            control process answers directly.
+        links_by_address: Link by address.
+        preferred_address: Address to try next.
     """
 
     def __init__(
         self, *, addresses: list[str], now: clock.Clock = clock.monotonic
     ):
         self.addresses = addresses
-        self.relays: list[str] = []
-        self.links: dict[str, link.Link] = {}
-        self.preferred = addresses[0]
+        self.relay_addresses: list[str] = []
+        self.links_by_address: dict[str, link.Link] = {}
+        self.preferred_address = addresses[0]
         self.now = now
 
     async def call(
@@ -54,38 +58,38 @@
     ) -> object:
         """Sends ``message`` until a leader answers it.
 
-        Every message is safe to send again.
+        Every message is idempotent, so resending is safe.
 
         Args:
             message: Submit, Sync or Read.
-            timeout_s: How long to try.
-            relayed: Whether it is another entry's, which goes no further
-                than to a control process.
+            timeout_s: Time for all attempts.
+            relayed: Whether another entry sent the message; such a message
+                is forwarded to control processes only.
 
         Returns:
             The leader's reply, or ``Unreachable``.
         """
         deadline = self.now() + timeout_s
         reason = "no answer"
-        tries = 0
+        attempts = 0
         while self.now() < deadline:
-            tries += 1
-            address = self.preferred
-            if relayed and address in self.relays:
-                address = self.addresses[tries % len(self.addresses)]
+            attempts += 1
+            address = self.preferred_address
+            if relayed and address in self.relay_addresses:
+                address = self.addresses[attempts % len(self.addresses)]
             reply = await self.link_to(address).call(
-                message, timeout_s=min(CALL_TIMEOUT_S, deadline - self.now())
+                message, timeout_s=min(ATTEMPT_TIMEOUT_S, deadline - self.now())
             )
             status = getattr(reply, "status", None)
             if status in (ttypes.Status.OK, ttypes.Status.INVALID):
                 return reply
             reason = getattr(reply, "reason", "") or "no leader"
             if isinstance(reply, link.TimedOut):
-                # The connection may be silent for good while new ones work.
+                # This connection may be dead while new ones still work.
                 self.link_to(address).close("timed out")
-            self.preferred = self._next(address, reply)
+            self.preferred_address = self._next_address(address, reply)
             if status is None or not reply.leader:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
         return Unreachable(reason=reason)
 
     async def submit(
@@ -103,7 +107,7 @@
     async def read(
         self, query: str, argument: str = "", *, timeout_s: float
     ) -> Any | Unreachable | Rejected:
-        """Reads current state; never stale."""
+        """Reads the current state from the leader; never stale."""
         message = ttypes.Read(query=query, argument=argument)
         reply = await self.call(message, timeout_s=timeout_s)
         if isinstance(reply, Unreachable):
@@ -113,24 +117,24 @@
         return json.loads(reply.result)
 
     def link_to(self, address: str) -> link.Link:
-        """Returns the link to an address, made on first use."""
-        found = self.links.get(address)
-        if found is None:
-            found = link.Link(address=address, now=self.now)
-            self.links[address] = found
-        return found
+        """Returns the link to an address, creating it on first use."""
+        existing = self.links_by_address.get(address)
+        if existing is None:
+            existing = link.Link(address=address, now=self.now)
+            self.links_by_address[address] = existing
+        return existing
 
     async def stop(self) -> None:
         """Closes all links."""
-        for each in self.links.values():
-            await each.stop()
+        for open_link in self.links_by_address.values():
+            await open_link.stop()
 
-    def _next(self, address: str, reply: object) -> str:
-        """Returns whom to ask next: the named leader, or the next in turn."""
+    def _next_address(self, address: str, reply: object) -> str:
+        """Returns the next address: the named leader, or the next in turn."""
         leader = getattr(reply, "leader", None)
         if leader and leader != address:
             return leader
-        ring = [*self.addresses, *self.relays]
-        if address not in ring:
-            return ring[0]
-        return ring[(ring.index(address) + 1) % len(ring)]
+        rotation = [*self.addresses, *self.relay_addresses]
+        if address not in rotation:
+            return rotation[0]
+        return rotation[(rotation.index(address) + 1) % len(rotation)]
--- /dev/null
+++ b/src/_arbutuswalk/entry/crash_quarantine.py
@@ -0,0 +1,340 @@
+"""Detects upstream deaths and isolates requests suspected of causing them."""
+
+import asyncio
+
+from _arbutuswalk.base import clock
+from _arbutuswalk.base import events
+from _arbutuswalk.entry import control_client
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import model_requests
+from _arbutuswalk.entry import peer_updates
+from _arbutuswalk.entry import placement
+from _arbutuswalk.routing import upstreams
+from _arbutuswalk.state import commands
+from _arbutuswalk.state import outcomes
+from _arbutuswalk.streams import answer
+
+PROBE_TIMEOUT_S = 0.5
+PROBE_INTERVAL_S = 0.01
+"""Interval between probes of an upstream that accepts but does not answer."""
+PROBE_REQUEST = b"HEAD / HTTP/1.1\r\nHost: probe\r\nConnection: close\r\n\r\n"
+CONTROL_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.05
+EXCLUSIVE_TIMEOUT_S = 3.0
+PEER_SUSPECT_TTL_S = 2.0
+"""How long a suspect reported by another entry counts. This is longer than a
+report takes to be committed and to reach every view."""
+MAX_ISOLATED_FRACTION = 0.34
+"""Maximum fraction of an upstream name's instances reserved for suspects."""
+_REFUSED, _ANSWERED, _NO_ANSWER = "refused", "open", "no answer"
+
+
+async def is_dead(entry: entry_state.Entry, row: upstreams.Row) -> bool:
+    """Returns whether an upstream's process is gone.
+
+    A refused connection or a newer incarnation proves it. If the probe gets
+    no answer at all, the upstream counts as dead only once its announcements
+    stop at every entry, since this entry alone may be partitioned.
+    """
+    broke_at = entry.now()
+    probe = await _probe(row.said["address"])
+    if probe == _REFUSED:
+        return True
+    if probe == _ANSWERED and not row.isolated:
+        return _is_replaced(entry, row)  # has a newer incarnation
+    if probe == _ANSWERED:
+        return await _was_restarted(entry, row, broke_at)
+    while entry.now() - row.heard_at < upstreams.SUSPECT_AFTER_S:
+        if row.heard_at > broke_at:
+            return False
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return row.heard_at <= broke_at
+
+
+async def _was_restarted(
+    entry: entry_state.Entry, row: upstreams.Row, broke_at: float
+) -> bool:
+    """Waits for the next announcement of an upstream that ran a suspect.
+
+    A process that died and was restarted immediately answers a probe.
+    """
+    while entry.now() - broke_at < upstreams.GONE_AFTER_S:
+        if _is_replaced(entry, row):
+            return True
+        if row.heard_at > broke_at:
+            return False
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return True
+
+
+async def _probe(address: str) -> str:
+    """Probes an upstream's HTTP server for any answer.
+
+    A process that is exiting still accepts connections for a moment, so only
+    an answer proves that it runs.
+    """
+    host, _, port = address.rpartition(":")
+    try:
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
+            while not await _sends_any_byte(host, int(port)):
+                await asyncio.sleep(PROBE_INTERVAL_S)
+    except ConnectionRefusedError:
+        return _REFUSED
+    except (TimeoutError, OSError):
+        return _NO_ANSWER
+    return _ANSWERED
+
+
+async def _sends_any_byte(host: str, port: int) -> bool:
+    """Returns whether a new connection yields a byte before it closes."""
+    reader, writer = await asyncio.open_connection(host, port)
+    try:
+        writer.write(PROBE_REQUEST)
+        return bool(await reader.read(1))
+    except ConnectionResetError:
+        return False
+    finally:
+        writer.close()
+
+
+def _is_replaced(entry: entry_state.Entry, row: upstreams.Row) -> bool:
+    return entry.upstreams.rows.get(row.said["id"]) is not row
+
+
+async def report_death(entry: entry_state.Entry, row: upstreams.Row) -> str:
+    """Reports an unannounced death once, with all requests that ran there.
+
+    Returns:
+        The fingerprint blamed for it, or an empty string.
+    """
+    report = entry.death_reports.get(row.key)
+    if report is None:
+        report = asyncio.ensure_future(_submit_death_report(entry, row))
+        entry.death_reports[row.key] = report
+    return await asyncio.shield(report)
+
+
+async def _submit_death_report(
+    entry: entry_state.Entry, row: upstreams.Row
+) -> str:
+    # Attempts that broke before this report count as well: the request that
+    # caused the crash need not be the first whose connection ended.
+    fingerprints = set(row.broken)
+    for request_id in row.active:
+        request = entry.requests.get(request_id)
+        if request is not None:
+            fingerprints.add(request.fingerprint)
+    entry.local_suspects |= fingerprints
+    peer_updates.tell_others(
+        entry,
+        {"kind": peer_updates.SUSPECTS, "fingerprints": sorted(fingerprints)},
+    )
+    if entry.upstreams.rows.get(row.said["id"]) is row:
+        entry.upstreams.remove(row.said["id"])
+    events.warn(events.Event.UPSTREAM_GONE, row.said["id"], "died")
+    outcome = await entry.control.submit(
+        commands.ReportDeath(
+            row.said["id"], row.said["incarnation"], sorted(fingerprints)
+        ),
+        timeout_s=CONTROL_TIMEOUT_S,
+    )
+    if isinstance(outcome, outcomes.Convicted):
+        entry.local_suspects -= fingerprints
+        events.warn(
+            events.Event.SUSPECT_CONVICTED,
+            outcome.fingerprint,
+            outcome.until_ms,
+        )
+        return outcome.fingerprint
+    return ""
+
+
+def add_peer_suspects(
+    entry: entry_state.Entry, fingerprints: list[str]
+) -> None:
+    """Records suspects of a death that another entry is reporting.
+
+    Until the report is committed and shows in the view, a resend that arrives
+    here would otherwise share a second upstream with other requests.
+    """
+    expires_at = entry.now() + PEER_SUSPECT_TTL_S
+    entry.peer_suspects |= dict.fromkeys(fingerprints, expires_at)
+
+
+def expire_peer_suspects(entry: entry_state.Entry) -> None:
+    """Drops suspects of other entries' reports that have expired."""
+    now = entry.now()
+    for fingerprint, expires_at in list(entry.peer_suspects.items()):
+        if expires_at <= now:
+            del entry.peer_suspects[fingerprint]
+
+
+async def place_isolated(
+    entry: entry_state.Entry,
+    request: model_requests.ModelRequest,
+    *,
+    avoid: frozenset[str],
+) -> upstreams.Row | answer.Problem | None:
+    """Reserves an upstream for a suspect; None when the deadline passes."""
+    while entry.now() < request.deadline:
+        rows = _isolation_candidates(entry, request)
+        rows.sort(key=lambda row: (row.key in avoid, row.load))
+        if rows:
+            row = rows[0]
+            outcome = await _isolate(entry, row, request)
+            if isinstance(outcome, outcomes.Convicted):
+                return convicted_problem(request, outcome.until_ms)
+            if isinstance(outcome, outcomes.Granted):
+                if await _wait_until_exclusive(entry, row, request):
+                    placement.reserve(row, request)
+                    return row
+                await release_isolation(entry, request, cleared=False)
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return None
+
+
+def _isolation_candidates(
+    entry: entry_state.Entry, request: model_requests.ModelRequest
+) -> list[upstreams.Row]:
+    """Returns upstreams that may be reserved, within the maximum fraction."""
+    rows = placement.candidates(
+        entry, request.upstream, request.route, request.request_id
+    )
+    instances = entry.upstreams.named(request.upstream)
+    isolated = sum(bool(row.isolated) for row in instances)
+    max_isolated = max(1, int(len(instances) * MAX_ISOLATED_FRACTION))
+    return rows if isolated < max_isolated else []
+
+
+async def _wait_until_exclusive(
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
+) -> bool:
+    """Waits until no entry runs another request on a reserved upstream.
+
+    Otherwise a second death there would not prove which request caused it.
+    """
+    deadline = entry.now() + EXCLUSIVE_TIMEOUT_S
+    try:
+        while entry.now() < deadline:
+            reply = await entry.control.read(
+                "alone", row.said["id"], timeout_s=CONTROL_TIMEOUT_S
+            )
+            if _is_replaced(entry, row):
+                return False
+            if row.health(entry.now()) is not upstreams.Health.USABLE:
+                return False
+            if isinstance(reply, dict) and reply["alone"]:
+                return True
+            await asyncio.sleep(POLL_INTERVAL_S)
+    except asyncio.CancelledError:
+        release_isolation_in_background(entry, request)
+        raise
+    return False
+
+
+def occupied_upstreams(entry: entry_state.Entry) -> list[str]:
+    """Returns ids of upstreams that run a request of this entry.
+
+    A broken attempt counts until it is known whether its upstream died, since
+    a death report may still have to name it.
+    """
+    return [
+        identity
+        for identity, row in entry.upstreams.rows.items()
+        if row.active or row.broken
+    ]
+
+
+def apply_isolations(entry: entry_state.Entry) -> None:
+    """Applies isolations and moves other requests off reserved upstreams."""
+    isolations = entry.view.get("quarantine", {}).get("isolations", {})
+    for identity, row in entry.upstreams.rows.items():
+        row.isolated = isolations.get(identity, "")
+        if not row.isolated:
+            continue
+        for request_id in row.active:
+            request = entry.requests.get(request_id)
+            if request and request.fingerprint != row.isolated:
+                request.move_requested.set()
+
+
+async def _isolate(
+    entry: entry_state.Entry,
+    row: upstreams.Row,
+    request: model_requests.ModelRequest,
+) -> object:
+    request.isolated_upstream = row.said["id"]
+    outcome = await entry.control.submit(
+        commands.Isolate(
+            request.fingerprint,
+            row.said["id"],
+            row.said["incarnation"],
+            entry.name,
+        ),
+        timeout_s=CONTROL_TIMEOUT_S,
+    )
+    if isinstance(outcome, outcomes.Granted):
+        row.isolated = request.fingerprint
+    elif isinstance(outcome, control_client.Unreachable):
+        await release_isolation(entry, request, cleared=False)
+    else:
+        request.isolated_upstream = ""
+    if isinstance(outcome, outcomes.Stale) and not _is_replaced(entry, row):
+        entry.upstreams.remove(row.said["id"])  # its death is already recorded
+    return outcome
+
+
+async def release_isolation(
+    entry: entry_state.Entry,
+    request: model_requests.ModelRequest,
+    *,
+    cleared: bool,
+) -> None:
+    """Ends the isolation of a request, if it has one.
+
+    After a death the report has already ended it. Releasing it again is
+    harmless, while an isolation that remained would block the upstream.
+    """
+    identity, request.isolated_upstream = request.isolated_upstream, ""
+    if not identity:
+        return
+    row = entry.upstreams.rows.get(identity)
+    if row is not None and row.isolated == request.fingerprint:
+        row.isolated = ""
+    if cleared:
+        entry.local_suspects.discard(request.fingerprint)
+    await entry.control.submit(
+        commands.Release(request.fingerprint, identity, cleared),
+        timeout_s=CONTROL_TIMEOUT_S,
+    )
+
+
+def release_isolation_in_background(
+    entry: entry_state.Entry, request: model_requests.ModelRequest
+) -> None:
+    """Ends the isolation of a cancelled request in the background."""
+    task = asyncio.ensure_future(
+        release_isolation(entry, request, cleared=False)
+    )
+    entry.track_task(task)
+
+
+def convicted_problem(
+    request: model_requests.ModelRequest, until_ms: int
+) -> answer.Problem:
+    """Returns the refusal of a request convicted of crashing upstreams."""
+    return answer.Problem(
+        422,
+        "request quarantined",
+        "upstreams died while running this request; change it before sending"
+        f" it again, or wait until {until_ms} ms of wall time",
+        "yes" if request.possibly_sent else "no",
+    )
+
+
+def seconds_until(entry: entry_state.Entry, until_ms: int) -> int:
+    """Returns the whole seconds until a conviction ends, at least one."""
+    left_ms = until_ms - entry.wall() * clock.MS_PER_S
+    return max(1, int(left_ms / clock.MS_PER_S) + 1)
--- /dev/null
+++ b/src/_arbutuswalk/entry/execution.py
@@ -0,0 +1,362 @@
+"""Runs one model request, in as many attempts as it needs."""
+
+import asyncio
+import uuid
+
+from _arbutuswalk.base import events
+from _arbutuswalk.entry import crash_quarantine
+from _arbutuswalk.entry import entry_state
+from _arbutuswalk.entry import migration
+from _arbutuswalk.entry import model_requests
+from _arbutuswalk.entry import placement
+from _arbutuswalk.limits import fair
+from _arbutuswalk.routing import evidence
+from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import versions
+from _arbutuswalk.streams import answer
+from _arbutuswalk.streams import attempts
+
+MAX_DECLINED_ATTEMPTS = 4
+BUDGET_POLL_INTERVAL_S = 0.05
+RETRYABLE_STATUSES = (429, 500, 502, 503, 504)
+
+
+class RunState:
+    """State of a running request between its attempts.
+
+    Attributes:
+        entry: The entry it runs in.
+        request: The request.
+        avoid: Keys of upstreams on which an attempt failed.
+        declined_attempts: Attempts that were answered with an error.
+        row_to_retry: Upstream to try once more on a new connection, or None.
+        budget_exempt: Whether the next attempt is not charged to the budget.
+        ticket: Its queue ticket, before the first attempt.
+    """
+
+    def __init__(
+        self,
+        *,
+        entry: entry_state.Entry,
+        request: model_requests.ModelRequest,
+        ticket: fair.Ticket | None,
+    ):
+        self.entry = entry
+        self.request = request
+        self.avoid: set[str] = set()
+        self.declined_attempts = 0
+        self.row_to_retry: upstreams.Row | None = None
+        self.budget_exempt = True
+        self.ticket = ticket
+
+
+async def run(
+    entry: entry_state.Entry,
+    request: model_requests.ModelRequest,
+    ticket: fair.Ticket,
+) -> None:
+    """Runs ``request`` until its answer has ended.
+
+    Args:
+        entry: The entry.
+        request: The request.
+        ticket: Its queue ticket.
+    """
+    state = RunState(entry=entry, request=request, ticket=ticket)
+    entry.retry_budget_for(request.upstream).deposit()
+    while not request.answer.ended:
+        if not await _wait_for_budget(state):
+            _fail_at_deadline(state)
+            return
+        row = await _reserve_upstream(state)
+        if isinstance(row, answer.Problem):
+            request.answer.fail(row)
+            return
+        if row is None:
+            _fail_at_deadline(state)
+            return
+        await _attempt(state, row)
+
+
+async def _wait_for_budget(state: RunState) -> bool:
+    """Waits for the retry budget; false when the deadline passes."""
+    entry, request = state.entry, state.request
+    budget = entry.retry_budget_for(request.upstream)
+    while entry.now() < request.deadline:
+        if state.budget_exempt or budget.withdraw(entry.now()):
+            state.budget_exempt = False
+            return True
+        await asyncio.sleep(BUDGET_POLL_INTERVAL_S)
+    return False
+
+
+async def _reserve_upstream(
+    state: RunState,
+) -> upstreams.Row | answer.Problem | None:
+    entry, request = state.entry, state.request
+    until_ms = entry.convicted_until_ms(request.fingerprint)
+    if until_ms:
+        return crash_quarantine.convicted_problem(request, until_ms)
+    avoid = frozenset(state.avoid)
+    row_to_retry, state.row_to_retry = state.row_to_retry, None
+    ticket, state.ticket = state.ticket, None
+    if entry.is_suspect(request.fingerprint):
+        if ticket is not None:
+            placement.leave_queue(entry, ticket)
+        return await crash_quarantine.place_isolated(
+            entry, request, avoid=avoid
+        )
+    now = entry.now()
+    if row_to_retry and row_to_retry.health(now) is upstreams.Health.USABLE:
+        placement.reserve(row_to_retry, request)
+        return row_to_retry
+    if ticket is None:
+        ticket = placement.enqueue(entry, request, avoid=avoid)
+    return await placement.wait_for_placement(entry, request, ticket)
+
+
+async def _attempt(state: RunState, row: upstreams.Row) -> None:
+    entry, request = state.entry, state.request
+    started = entry.now()
+    events_before = len(request.answer.events)
+    request.attempts += 1
+    request.possibly_sent = True
+    request.move_requested.clear()
+    _add_to_history(
+        state, f"attempt {request.attempts} on {row.key} at {events_before}"
+    )
+    first_token_s: list[float] = []
+
+    def on_events(new_events: list[bytes]) -> None:
+        if not first_token_s:
+            first_token_s.append(entry.now() - started)
+            _record_latency(entry, row, "first_token", first_token_s[0])
+        request.answer.add(new_events)
+
+    try:
+        result = await _run_or_move(state, row, on_events)
+        if isinstance(result, attempts.Broke | attempts.Silent):
+            row.broken.add(request.fingerprint)
+    except asyncio.CancelledError:
+        crash_quarantine.release_isolation_in_background(entry, request)
+        raise
+    finally:
+        placement.release(entry, row, request)
+        entry.record_usage(
+            row.said["instance"], request.workspace, entry.now() - started
+        )
+    entry.update_slot_speed(
+        request.upstream,
+        len(request.answer.events) - events_before,
+        entry.now() - started,
+    )
+    _count_recomputed_tokens(state, result, events_before)
+    _record_evidence(state, row, result, first_token_s)
+    await _handle_result(state, row, result)
+
+
+async def _run_or_move(
+    state: RunState, row: upstreams.Row, on_events: attempts.EventsCallback
+) -> attempts.Result:
+    """Runs the attempt, or stops it once a move was requested."""
+    entry, request = state.entry, state.request
+    attempt = asyncio.ensure_future(
+        attempts.run(_order(state, row), _attempt_deadlines(entry), on_events)
+    )
+    move = asyncio.ensure_future(request.move_requested.wait())
+    try:
+        await asyncio.wait((attempt, move), return_when=asyncio.FIRST_COMPLETED)
+        if attempt.done():
+            return attempt.result()
+        await migration.copy_cache(entry, row, request)
+        if attempt.done():
+            return attempt.result()
+        return attempts.Stopped()
+    finally:
+        move.cancel()
+        if not attempt.done():
+            attempt.cancel()
+            await asyncio.gather(attempt, return_exceptions=True)
+
+
+def _order(state: RunState, row: upstreams.Row) -> attempts.Order:
+    request = state.request
+    body = {**request.body, "stream": True}
+    if request.answer.events:
+        body["continue_from"] = {
+            "text": request.answer.text(),
+            "events": len(request.answer.events),
+        }
+    return attempts.Order(
+        address=row.said["address"],
+        path=model_requests.ROUTE_PATHS[request.route],
+        request_id=request.request_id,
+        attempt_id=uuid.uuid4().hex,
+        body=body,
+        priority=request.priority,
+        echo=row.said["echo"],
+    )
+
+
+def _attempt_deadlines(entry: entry_state.Entry) -> attempts.Deadlines:
+    return attempts.Deadlines(
+        connect_s=entry.settings["connect_s"],
+        first_byte_s=entry.settings["first_byte_s"],
+        gap_s=entry.settings["gap_s"],
+    )
+
+
+async def _handle_result(
+    state: RunState, row: upstreams.Row, result: attempts.Result
+) -> None:
+    """Ends the request or prepares its next attempt."""
+    entry, request = state.entry, state.request
+    if isinstance(result, attempts.Completed):
+        request.answer.finish()
+        await crash_quarantine.release_isolation(entry, request, cleared=True)
+        return
+    reason = f"{type(result).__name__}: {result}"
+    events.log(events.Event.ATTEMPT_FAILED, request.request_id, row.key, reason)
+    entry.metrics.count("attempts_failed", f'kind="{type(result).__name__}"')
+    _add_to_history(state, f"ended by {type(result).__name__}")
+    died, blamed = await _look_for_death(state, row, result)
+    if not died and request.fingerprint in row.broken:
+        row.broken.discard(request.fingerprint)
+        row.spared[request.fingerprint] = entry.now()
+    # An attempt lost with its upstream is no sign of overload.
+    state.budget_exempt = died or _left_on_notice(state, row, result)
+    if blamed == request.fingerprint:
+        until_ms = entry.convicted_until_ms(request.fingerprint)
+        request.answer.fail(
+            crash_quarantine.convicted_problem(request, until_ms)
+        )
+        return
+    await crash_quarantine.release_isolation(entry, request, cleared=False)
+    _prepare_retry(state, row, result)
+
+
+def _prepare_retry(
+    state: RunState, row: upstreams.Row, result: attempts.Result
+) -> None:
+    if isinstance(result, attempts.Stopped):
+        state.avoid.add(row.key)
+        return
+    silent = isinstance(result, attempts.Silent)
+    if silent and row.key not in state.avoid:
+        # The connection may be at fault rather than the upstream. Its cache
+        # is warm, so it is tried once more before any other.
+        state.row_to_retry = row
+    if isinstance(result, attempts.NotConnected):
+        row.failed_at = state.entry.now()
+    state.avoid.add(row.key)
+    if isinstance(result, attempts.Declined):
+        _count_declined(state, result)
+
+
+def _count_declined(state: RunState, result: attempts.Declined) -> None:
+    state.declined_attempts += 1
+    final = result.status not in RETRYABLE_STATUSES
+    if final or state.declined_attempts >= MAX_DECLINED_ATTEMPTS:
+        status = result.status if final else 502
+        state.request.answer.fail(
+            answer.Problem(status, "upstream error", result.detail, "yes")
+        )
+
+
+async def _look_for_death(
+    state: RunState, row: upstreams.Row, result: attempts.Result
+) -> tuple[bool, str]:
+    """Reports an unannounced death.
+
+    Returns:
+        Whether the upstream died unannounced, and the fingerprint blamed.
+    """
+    if not isinstance(result, attempts.Broke | attempts.Silent):
+        return False, ""
+    if row.health(state.entry.now()) is upstreams.Health.LEAVING:
+        return False, ""
+    if not await crash_quarantine.is_dead(state.entry, row):
+        return False, ""
+    if row.health(state.entry.now()) is upstreams.Health.LEAVING:
+        return False, ""
+    return True, await crash_quarantine.report_death(state.entry, row)
+
+
+def _left_on_notice(
+    state: RunState, row: upstreams.Row, result: attempts.Result
+) -> bool:
+    leaving = row.health(state.entry.now()) is upstreams.Health.LEAVING
+    return leaving or isinstance(result, attempts.Stopped)
+
+
+def _record_evidence(
+    state: RunState,
+    row: upstreams.Row,
+    result: attempts.Result,
+    first_token_s: list[float],
+) -> None:
+    entry, request = state.entry, state.request
+    if _left_on_notice(state, row, result):
+        return  # a reclaimed instance says nothing about the version
+    if isinstance(result, attempts.NotConnected):
+        return
+    assigned, previous = versions.pick(
+        entry.moves, request.upstream, request.route, request.request_id
+    )
+    version = row.said["version"]
+    side = evidence.Side(request.upstream, version, request.route)
+    baseline = evidence.Side(request.upstream, previous, request.route)
+    cut_off = entry.evidence.note(
+        side,
+        failed=not isinstance(result, attempts.Completed),
+        latency_s=first_token_s[0] if first_token_s else 0.0,
+        baseline=baseline if previous else None,
+        on_trial=bool(previous) and version == assigned,
+    )
+    if cut_off:
+        events.warn(events.Event.VERSION_CUT_OFF, *side)
+
+
+def _count_recomputed_tokens(
+    state: RunState, result: attempts.Result, events_before: int
+) -> None:
+    """Counts prompt and delivered tokens that a later attempt recomputed."""
+    request = state.request
+    if request.attempts <= 1 or isinstance(result, attempts.NotConnected):
+        return
+    cached_tokens = getattr(result, "cached_tokens", 0)
+    known_tokens = request.features.prompt_tokens + events_before
+    state.entry.metrics.count(
+        "recomputed_tokens", by=max(0, known_tokens - cached_tokens)
+    )
+    if events_before:
+        state.entry.metrics.count("resumed")
+        events.log(
+            events.Event.STREAM_CONTINUED, request.request_id, "", events_before
+        )
+
+
+def _record_latency(
+    entry: entry_state.Entry, row: upstreams.Row, name: str, seconds: float
+) -> None:
+    labels = f'upstream="{row.name}",version="{row.said["version"]}"'
+    entry.metrics.record(name, labels, seconds)
+
+
+def _add_to_history(state: RunState, text: str) -> None:
+    elapsed_s = state.entry.now() - state.request.accepted_at
+    state.request.history.append(f"{elapsed_s:.3f} s: {text}")
+
+
+def _fail_at_deadline(state: RunState) -> None:
+    request = state.request
+    ran = "unknown" if request.possibly_sent else "no"
+    request.answer.fail(
+        answer.Problem(
+            504 if request.possibly_sent else 503,
+            "deadline cannot be met",
+            f"deadline passed; {request.attempts} attempts were made",
+            ran,
+            placement.RETRY_AFTER_S,
+        )
+    )
--- a/src/_arbutuswalk/entry/http.py
+++ b/src/_arbutuswalk/entry/http.py
@@ -1,4 +1,4 @@
-"""Small helpers over ASGI: bodies, headers, problem documents."""
+"""ASGI helpers: bodies, headers, tokens and problem documents."""
 
 import asyncio
 import json
@@ -8,20 +8,20 @@
 
 from starlette import responses
 
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 BODY_TIMEOUT_S = 30.0
-PROBLEM_TYPE = "application/problem+json"
+PROBLEM_CONTENT_TYPE = "application/problem+json"
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 
 def headers_of(scope: dict[str, Any]) -> dict[str, str]:
-    """Returns headers by lower-case name."""
+    """Returns the headers of a request by lower-case name."""
     return {
         name.decode("latin-1"): value.decode("latin-1")
         for name, value in scope["headers"]
@@ -29,7 +29,7 @@
 
 
 async def read_body(receive: Receive) -> bytes | answer.Problem:
-    """Reads a whole request body within limits."""
+    """Reads a request body, limited in size and time."""
     parts, size = [], 0
     try:
         async with asyncio.timeout(BODY_TIMEOUT_S):
@@ -60,13 +60,13 @@
     return responses.Response(
         problem_json(problem),
         status_code=problem.status,
-        media_type=PROBLEM_TYPE,
+        media_type=PROBLEM_CONTENT_TYPE,
         headers=headers,
     )
 
 
 def problem_json(problem: answer.Problem) -> bytes:
-    """Returns the problem document's bytes."""
+    """Returns a problem document as JSON."""
     document = {
         "type": "about:blank",
         "title": problem.title,
@@ -79,10 +79,10 @@
     return json.dumps(document).encode()
 
 
-def workspace_of(
-    entry: core.Entry, headers: dict[str, str]
+def authenticate(
+    entry: entry_state.Entry, headers: dict[str, str]
 ) -> inventories.Workspace | answer.Problem:
-    """Returns the workspace that the bearer token names."""
+    """Returns the workspace of the bearer token."""
     scheme, _, token = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not token:
         detail = "send Authorization: Bearer with the workspace's token"
@@ -95,12 +95,12 @@
     return answer.Problem(401, "unknown token", detail, "no")
 
 
-def not_admitting(entry: core.Entry) -> answer.Problem | None:
-    """Returns the refusal of an entry that may not take new work."""
-    if entry.admits:
+def lease_problem(entry: entry_state.Entry) -> answer.Problem | None:
+    """Returns a refusal if the entry may not accept new work."""
+    if entry.accepts_work:
         return None
-    others = [row["address"] for row in entry.peers.values()]
+    peer_addresses = [row["address"] for row in entry.peers.values()]
     detail = "this entry is cut off from control; use another"
-    if others:
-        detail += ": " + ", ".join(sorted(others))
+    if peer_addresses:
+        detail += ": " + ", ".join(sorted(peer_addresses))
     return answer.Problem(503, "entry cut off", detail, "no", 1)
--- a/testing/worlds.py
+++ b/testing/entry_fixtures.py
@@ -1,4 +1,4 @@
-"""Entries over a fake control group and fake upstreams, on virtual time."""
+"""Entries with a fake control group and fake upstreams, on virtual time."""
 
 import asyncio
 import json
@@ -6,17 +6,17 @@
 import virtual
 
 from _arbutuswalk.entry import control_client
-from _arbutuswalk.entry import core
+from _arbutuswalk.entry import entry_state
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.state import ledger
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import state_machine
-from _arbutuswalk.state import tables as rows
+from _arbutuswalk.state import tables as state_tables
 from _arbutuswalk.state import view
 from _arbutuswalk.wire import link
 
-VALUES = {
+ENTRY_SETTINGS = {
     "address": "127.0.0.1:1",
     "link_address": "127.0.0.1:2",
     "domain": "d1",
@@ -77,29 +77,31 @@
 
 
 class Control:
-    """A control group reduced to its tables, behind an unreliable link.
+    """A control group that consists of its tables, behind an unreliable link.
 
     Attributes:
         tables: The replicated tables.
-        modes: What may happen to a command: ``ok``, ``lost`` (not committed),
+        modes: Possible outcomes of a command: ``ok``, ``lost`` (not committed),
             ``deaf`` (committed, answer lost) or ``late`` (committed after the
-            sender gave up).
+            sender timed out).
+        entry_reports: Index and occupied upstreams that an entry last
+            reported, by entry.
     """
 
     def __init__(self, loop, rng):
         self.loop = loop
         self.rng = rng
-        self.tables = rows.Tables()
+        self.tables = state_tables.Tables()
         self.index = 0
         self.modes = ["ok"]
-        self.seen = {}
+        self.entry_reports = {}
 
-    def is_alone(self, upstream):
-        """What the leader concludes from the entries' reports."""
+    def runs_alone(self, upstream):
+        """Returns whether all entries report a reserved upstream as idle."""
         isolation = self.tables.isolations.get(upstream)
         return isolation is not None and all(
             version >= isolation.index and upstream not in active
-            for version, active in self.seen.values()
+            for version, active in self.entry_reports.values()
         )
 
     def commit(self, command):
@@ -107,9 +109,9 @@
         at_ms = int(self.loop.time() * 1000)
         payload = state_machine.stamp(command, at_ms)
         outcome = state_machine.apply(self.tables, payload, self.index)
-        # What a restart would load must be what is there.
-        dumped = state_machine.dump(self.tables)
-        assert state_machine.dump(state_machine.load(dumped)) == dumped
+        # Loading the dump must restore the same tables, as after a restart.
+        dump = state_machine.dump(self.tables)
+        assert state_machine.dump(state_machine.load(dump)) == dump
         return outcome
 
     def client(self):
@@ -117,11 +119,11 @@
 
 
 class Client:
-    """What an entry sees of the control group."""
+    """An entry's client of the fake control group."""
 
     def __init__(self, control):
         self.control = control
-        self.relays = []
+        self.relay_addresses = []
 
     async def submit(self, command, *, timeout_s):
         control = self.control
@@ -141,19 +143,19 @@
     async def read(self, query, argument="", *, timeout_s):
         if query == "alone":
             await asyncio.sleep(0.002)
-            return {"alone": self.control.is_alone(argument)}
+            return {"alone": self.control.runs_alone(argument)}
         assert query == "call"
         await asyncio.sleep(0.002)
         if self.control.rng.choice(self.control.modes) == "lost":
             await asyncio.sleep(timeout_s)
             return control_client.Unreachable(reason="lost")
         workspace, _, key = argument.partition("\n")
-        found = ledger.find(self.control.tables, workspace, key)
-        return outcomes.to_json(found)
+        call = ledger.find(self.control.tables, workspace, key)
+        return outcomes.to_json(call)
 
 
-class DeafLink:
-    """A link to another entry that never opens."""
+class UnreachableLink:
+    """A link to another entry that never connects."""
 
     async def call(self, message, *, timeout_s):
         return link.LinkDown(reason="deaf", possibly_sent=False)
@@ -163,16 +165,16 @@
 
 
 def make_entry(loop, control, name, incarnation=1):
-    """Returns an entry that is registered, leased and configured."""
-    entry = core.Entry(
-        values={**VALUES, "id": name},
+    """Returns an entry with a registration, a lease and a configuration."""
+    entry = entry_state.Entry(
+        settings={**ENTRY_SETTINGS, "id": name},
         incarnation=incarnation,
         session=None,
         now=loop.time,
         wall=loop.time,
     )
     entry.control = control.client()
-    entry.link_to = lambda address: DeafLink()
+    entry.link_to = lambda address: UnreachableLink()
     control.commit(
         commands.RegisterEntry(
             name, incarnation, "127.0.0.1:1", "127.0.0.1:2", "d1", 1, "local"
@@ -183,16 +185,16 @@
 
 
 def refresh(entry, control):
-    """Brings an entry's view and lease up to date."""
+    """Updates an entry's view and grants it a lease without end."""
     if control.tables.revision == 0:
         control.commit(commands.Apply("op", "test", 0, INVENTORY))
     entry.view = json.loads(json.dumps(view.parts_since(control.tables, -1)))
-    entry.lease_until = float("inf")
+    entry.lease_expires_at = float("inf")
     entry.registered = True
 
 
 def said(identity, upstream, **extra):
-    """Returns an announcement."""
+    """Returns an announcement of an upstream; ``extra`` overrides fields."""
     return {
         "id": identity,
         "incarnation": 1,
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -3,14 +3,14 @@
 import asyncio
 import random
 
+import entry_fixtures
 import hypothesis.strategies as st
 import virtual
-import worlds
 from hypothesis import stateful
 
-from _arbutuswalk.entry import calls
+from _arbutuswalk.entry import at_most_once
 from _arbutuswalk.entry import exchange
-from _arbutuswalk.entry import services
+from _arbutuswalk.entry import service_routes
 from _arbutuswalk.routing import upstreams
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import entries
@@ -86,7 +86,7 @@
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
         self.rng = random.Random(seed)
-        self.control = worlds.Control(self.loop, self.rng)
+        self.control = entry_fixtures.Control(self.loop, self.rng)
         self.exchange = Exchange(self.loop, self.rng)
         self.control.modes = CONTROL_MODES
         self.exchange.modes = EXCHANGE_MODES
@@ -96,13 +96,13 @@
 
     def _start_entry(self, name):
         self.incarnation += 1
-        entry = worlds.make_entry(
+        entry = entry_fixtures.make_entry(
             self.loop, self.control, name, self.incarnation
         )
         for identity in UPSTREAMS:
             upstreams.announce(
                 entry.upstreams,
-                worlds.said(identity, "claims"),
+                entry_fixtures.said(identity, "claims"),
                 heard_at=self.loop.time(),
             )
         self.entries[name] = entry
@@ -131,7 +131,7 @@
         entry = self.entries[name]
         upstream = inventories.find_upstream(entry.inventory, "claims")
         self.number += 1
-        call = services.ServiceCall(
+        call = service_routes.ServiceCall(
             call_id=f"{name}~{self.number}",
             workspace="w",
             upstream=upstream,
@@ -144,7 +144,7 @@
             deadline=self.loop.time() + 8,
             priority=5,
         )
-        task = self.loop.create_task(calls.run_once(entry, call))
+        task = self.loop.create_task(at_most_once.run_call(entry, call))
         self.sent.append((name, call, task))
 
     @stateful.precondition(lambda self: self.sent)
@@ -168,7 +168,7 @@
         for owner, _, task in self.sent:
             if owner == name and not task.done():
                 task.cancel()
-        for task in list(entry.tasks):
+        for task in list(entry.background_tasks):
             task.cancel()
         self.loop.run_until_complete(asyncio.sleep(0))
         if told:
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -4,16 +4,16 @@
 import json
 import random
 
+import entry_fixtures
 import hypothesis.strategies as st
 import virtual
-import worlds
 from hypothesis import stateful
 
-from _arbutuswalk.entry import announcing
-from _arbutuswalk.entry import models
-from _arbutuswalk.entry import requests
-from _arbutuswalk.entry import suspicion
-from _arbutuswalk.entry import transfers
+from _arbutuswalk.entry import crash_quarantine
+from _arbutuswalk.entry import migration
+from _arbutuswalk.entry import model_requests
+from _arbutuswalk.entry import model_routes
+from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.load import checks
 from _arbutuswalk.load import workload
 from _arbutuswalk.routing import upstreams
@@ -42,7 +42,7 @@
 
     def said(self):
         self.sequence += 1
-        return worlds.said(
+        return entry_fixtures.said(
             self.identity,
             "model",
             incarnation=self.incarnation,
@@ -96,7 +96,7 @@
         return await self._generate(runner, order, deadlines, on_events, mode)
 
     async def _generate(self, runner, order, deadlines, on_events, mode):
-        prompt = requests.prompt_of(order.body)
+        prompt = model_requests.prompt_of(order.body)
         reference = engine.reference_of(prompt)
         nonce, position = engine.start_of(order.body.get("continue_from"))
         fault_position = self.rng.randint(position, MAX_TOKENS)
@@ -126,7 +126,11 @@
     def __init__(self):
         super().__init__()
         self.loop = virtual.VirtualLoop()
-        self.saved = (attempts.run, suspicion._probe, transfers.export_cache)
+        self.saved = (
+            attempts.run,
+            crash_quarantine._probe,
+            migration.copy_cache,
+        )
         self.sent = []
         self.poisoned = []
         self.number = 0
@@ -134,18 +138,18 @@
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
         self.rng = random.Random(seed)
-        self.control = worlds.Control(self.loop, self.rng)
+        self.control = entry_fixtures.Control(self.loop, self.rng)
         self.fleet = Fleet(self.loop, self.rng)
         self.entries = [
-            worlds.make_entry(self.loop, self.control, name)
+            entry_fixtures.make_entry(self.loop, self.control, name)
             for name in ("a", "b")
         ]
         attempts.run = self.fleet.run
-        suspicion._probe = self._probe
-        transfers.export_cache = self._no_export
+        crash_quarantine._probe = self._probe
+        migration.copy_cache = self._no_export
         for entry in self.entries:
             entry.start_request = lambda request, entry=entry: (
-                models.start_task(entry, request)
+                model_routes.start_task(entry, request)
             )
         self.background = self.loop.create_task(self._upkeep())
 
@@ -163,7 +167,7 @@
                 entry.view = json.loads(
                     json.dumps(view.parts_since(self.control.tables, -1))
                 )
-                suspicion.follow_isolations(entry)
+                crash_quarantine.apply_isolations(entry)
                 self._report_active(entry)
                 for runner in self.fleet.runners.values():
                     if runner.alive:
@@ -173,13 +177,15 @@
 
     def _report_active(self, entry):
         """What the entry's next request for a stamp tells the leader."""
-        self.control.seen[entry.name] = (
+        self.control.entry_reports[entry.name] = (
             self.control.index,
-            suspicion.occupied(entry),
+            crash_quarantine.occupied_upstreams(entry),
         )
 
     def _announce(self, entry, runner):
-        announcing.take(entry, runner.said(), age_s=0.0)
+        upstream_announcements.apply_announcement(
+            entry, runner.said(), age_s=0.0
+        )
 
     def _pass(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
@@ -193,7 +199,7 @@
             "stream": True,
         }
         raw = json.dumps(body).encode()
-        request = requests.ModelRequest(
+        request = model_requests.ModelRequest(
             request_id=f"{entry.name}~{self.number}",
             workspace="w",
             weight=1,
@@ -207,7 +213,7 @@
         )
 
         async def start():
-            models.start(entry, request)
+            model_routes.accept_request(entry, request)
 
         self.loop.run_until_complete(start())
         return request
@@ -287,7 +293,9 @@
                 self._pass(100)
                 self._check()
         finally:
-            attempts.run, suspicion._probe, transfers.export_cache = self.saved
+            attempts.run, crash_quarantine._probe, migration.copy_cache = (
+                self.saved
+            )
             virtual.close(self.loop)
 
     def _check(self):
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -4,7 +4,7 @@
 import pytest
 import state_machine_runner
 
-from _arbutuswalk.entry import calls
+from _arbutuswalk.entry import at_most_once
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import ledger
 from _arbutuswalk.state import outcomes
@@ -110,9 +110,9 @@
 
     def test_retry_after_the_call_was_sent(self, monkeypatch):
         async def retry_anyway(entry, call, attempt, row):
-            return await calls._withdraw(entry, call, attempt)
+            return await at_most_once._withdraw(entry, call, attempt)
 
-        monkeypatch.setattr(calls, "_resolve", retry_anyway)
+        monkeypatch.setattr(at_most_once, "_resolve", retry_anyway)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
@@ -135,10 +135,10 @@
     def test_send_without_waiting_for_the_grant(self, monkeypatch):
         async def send_ungranted(entry, call, attempt, outcome):
             row = next(iter(entry.upstreams.rows.values()))
-            sent = await calls._send(entry, call, attempt, row)
-            return sent or calls._not_run("never opened")
+            sent = await at_most_once._send(entry, call, attempt, row)
+            return sent or at_most_once._not_run("never opened")
 
-        monkeypatch.setattr(calls, "_not_granted", send_ungranted)
+        monkeypatch.setattr(at_most_once, "_not_granted", send_ungranted)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
@@ -148,6 +148,6 @@
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_call_with_unknown_outcome_reported_as_not_run(self, monkeypatch):
-        monkeypatch.setattr(calls, "_unknown", calls._not_run)
+        monkeypatch.setattr(at_most_once, "_unknown", at_most_once._not_run)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
