--- a/src/_arbutuswalk/relay/__init__.py
+++ b/src/_arbutuswalk/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The data path for requests that are relayed as they are."""
+"""Data path for requests that are relayed unmodified."""
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -1,4 +1,4 @@
-"""Sends a request to one endpoint and follows what comes back."""
+"""Sends a request to one endpoint and processes the answer."""
 
 from _arbutuswalk.base import events
 from _arbutuswalk.relay import core
@@ -13,27 +13,28 @@
 from _arbutuswalk.streams import replies
 
 ANSWER_GRACE_S = 0.1
-"""How much longer than its time an endpoint's own time-out answer is awaited:
-below the quarter of a second by which an answer may be late."""
+"""Time after the deadline for which an endpoint's own time-out answer is
+awaited: less than the quarter of a second by which an answer may be late."""
 STALL_S = 1.0
-"""Pause after which a stream is resumed elsewhere: half of the shortest pause
-after which callers abandon one."""
+"""Time without data after which a stream is resumed at another endpoint: half
+of the shortest time after which callers abandon a stream."""
 MAX_WHOLE_BYTES = 8 * 1024 * 1024
-"""Largest answer that is held whole: a tenth of what a process may use of the
-smallest instances' memory, beside its own 30 MB."""
+"""Largest answer that is buffered completely: a tenth of the memory available
+to a process on the smallest instances, beside its own 30 MB."""
 MAX_RANK = 9
 
 
 class Attempt:
-    """One sending of a request.
+    """One attempt to send a request to an endpoint.
 
     Attributes:
+        relay: State of the entry.
         delivery: Answer to the caller, shared by all attempts of a request.
-        endpoint: Where it goes.
-        version: Version of that endpoint's software.
-        exchange: Exchange on the connection.
-        started: When it began, in seconds.
-        unread: Tokens of the prompt that the endpoint has not read yet.
+        request: The request.
+        endpoint: Endpoint that the request is sent to.
+        exchange: HTTP exchange on the connection.
+        started: When the attempt started, in seconds.
+        unread: Prompt tokens that the endpoint has not read yet.
         first_s: Seconds to the first byte of the answer, 0 before.
     """
 
@@ -57,7 +58,7 @@
         )
 
     async def run(self) -> results.Result:
-        """Sends the request and returns what became of it."""
+        """Sends the request and returns the result."""
         relay, name = self.relay, self.endpoint.id
         relay.add_load(name, 1, self.unread)
         placing.sent(relay, self.request, name)
@@ -69,7 +70,7 @@
         return result
 
     def _read(self) -> None:
-        """Notes that the endpoint has read the prompt."""
+        """Records that the endpoint has read the prompt."""
         self.relay.add_load(self.endpoint.id, 0, -self.unread)
         self.unread = 0
 
@@ -104,7 +105,7 @@
     def _let_go(
         self, opened: connections.Connection, result: results.Result
     ) -> None:
-        """Keeps a clean connection, closes any other at once."""
+        """Returns a reusable connection to the pool, aborts any other."""
         whole = isinstance(
             result, results.Answered | results.Delivered | results.NotRun
         )
@@ -114,7 +115,7 @@
             opened.abort()
 
     async def _follow(self, opened: connections.Connection) -> results.Result:
-        """Waits for the answer's head, then for the rest in its way."""
+        """Waits for the status and headers, then reads the answer's body."""
         deadline = self.request.deadline + ANSWER_GRACE_S
         while self.exchange.reply is None and not self.exchange.over:
             ended = await self._news(deadline)
@@ -137,7 +138,7 @@
         reply: replies.Reply,
         deadline: float,
     ) -> results.Result:
-        """Collects a whole answer; nothing of it has gone out yet."""
+        """Buffers a complete answer before any of it is sent to the caller."""
         body = bytearray()
         while True:
             body += self.exchange.take()
@@ -163,7 +164,7 @@
     async def _stream(
         self, opened: connections.Connection, deadline: float
     ) -> results.Result:
-        """Passes events on as they come."""
+        """Forwards events to the caller as they arrive."""
         begun = False
         await self.delivery.start(self.exchange.status, self.exchange.headers)
         while True:
@@ -189,7 +190,11 @@
     async def _news(
         self, deadline: float, *, stalls: bool = False
     ) -> results.Result | None:
-        """Waits for news of the exchange; returns a result that ends it."""
+        """Waits for progress of the exchange.
+
+        Returns:
+            The result if the attempt is over, None if it goes on.
+        """
         now = self.relay.now()
         until = deadline
         may_resume = stalls and self.request.route.resumable
@@ -221,7 +226,7 @@
             self.relay.usage.count(workspace.name, self.relay.wall() - ago)
 
     def _note(self, result: results.Result) -> None:
-        """Writes the attempt down, for the log and for rollouts."""
+        """Records the result in the log, the metrics and the outcomes."""
         took = self.relay.now() - self.started
         reason = getattr(result, "reason", "")
         if isinstance(result, results.Answered):
--- a/src/_arbutuswalk/relay/core.py
+++ b/src/_arbutuswalk/relay/core.py
@@ -1,4 +1,4 @@
-"""State of an entry that relays requests as they are."""
+"""State of an entry that relays requests unmodified."""
 
 import asyncio
 import random
@@ -20,30 +20,31 @@
 from _arbutuswalk.streams import pool
 
 UNKNOWN_ENTRIES = 16
-"""Entries that share a bound until control has told how many there are."""
+"""Number of entries assumed to share a limit until control has reported it."""
 
 LEARN_S = 3.0
-"""Time after the start in which requests wait for what is not known yet: by
-then every endpoint has announced itself twice."""
+"""Time after the process start in which requests wait for a configuration or an
+endpoint. Every endpoint has announced itself twice by then."""
 MOST_WAIT_S = 1.0
-"""Longest such wait of one request."""
+"""Longest such wait of a single request."""
 USUAL_WEIGHT = 0.05
-"""Weight of one more time in the usual one: some twenty requests count."""
+"""Weight of a new sample in the moving average of the time to the first byte,
+which so covers about twenty requests."""
 SLOW_TIMES = 3.0
-"""Times the usual time to the first byte from which an answer is slow: bad
-versions are several times slower."""
+"""Multiple of the average time to the first byte above which an answer is slow:
+faulty versions are several times slower."""
 
 
 class Options(NamedTuple):
     """Settings of the data path.
 
     Attributes:
-        retry_ratio: Retries as a part of the requests of a window.
-        retry_extra: Retries of a window beside that part.
-        retry_window_s: Length of that window.
-        usage_window_s: Length of a window of usage.
-        quota: How exactly quotas have to be kept.
-        heartbeat_s: Interval of endpoints' heartbeats.
+        retry_ratio: Retries allowed per window, as a share of its requests.
+        retry_extra: Retries allowed per window beyond that share.
+        retry_window_s: Length of the retry window.
+        usage_window_s: Length of a usage window.
+        quota: Permitted inaccuracy of quotas.
+        heartbeat_s: Heartbeat interval of endpoints.
     """
 
     retry_ratio: float
@@ -55,21 +56,21 @@
 
 
 class Load(NamedTuple):
-    """Requests under way, and tokens of prompts that were not read yet."""
+    """Requests in progress, and prompt tokens that were not read yet."""
 
     running: int = 0
     waiting_tokens: int = 0
 
 
 class Outcomes:
-    """Outcomes of one version of an upstream at this entry.
+    """Request outcomes of one version of an upstream at this entry.
 
     Attributes:
         ran: Requests that ran.
         failed: Those of them that failed.
-        timed: Those that were compared with the objective.
-        slow: Those of them whose first byte took several times as long as
-            is usual on their route.
+        timed: Those whose time to the first byte was compared with the average.
+        slow: Those of them whose first byte took several times as long as the
+            average on their route.
     """
 
     def __init__(self):
@@ -80,35 +81,40 @@
 
 
 class Relay:
-    """Tables of one entry; the data path's functions run over them.
+    """State of one entry, shared by the functions of the data path.
 
     Attributes:
-        name: Entry's id.
-        incarnation: Start of this process, in milliseconds.
-        domain: Own failure domain.
-        dialect: How endpoints are spoken to.
+        name: Id of the entry.
+        incarnation: Start time of this process, in Unix milliseconds.
+        domain: Failure domain of the entry.
+        dialect: HTTP conventions of the endpoints.
+        options: Settings of the data path.
+        now: Monotonic clock.
+        wall: Wall clock.
+        rng: Source of random numbers.
         pool: Connections to endpoints.
-        table: Configuration of routes, None before the first.
-        directory: Endpoints.
-        loads: Own load by endpoint.
-        others: Load by other entries by endpoint.
-        health: Failures of endpoints that say they are well.
-        crashes: Requests that were there when endpoints died.
-        refused: Fingerprints of requests that control has refused.
-        patience: How long callers of each route wait.
-        recent: Endpoints that lately got shared parts of prompts.
-        suspects: Time until which an endpoint comes last, by id.
-        retries: Window of retries by upstream.
+        table: Route configuration, None before the first.
+        directory: Known endpoints.
+        loads: Load from this entry by endpoint.
+        others: Load from other entries by endpoint.
+        health: Failure rates of endpoints that report good health.
+        crashes: Requests that were running when endpoints died.
+        refused: Fingerprints of requests that control has ordered to refuse.
+        patience: Longest deadlines of the callers of each route.
+        recent: Endpoints that recently received shared prompt parts.
+        suspects: Time until which an endpoint is used last, by id.
+        retries: Retry window by upstream.
         buckets: Quota bucket by workspace.
-        usage: Requests begun, by window and workspace.
+        usage: Started requests by window and workspace.
         outcomes: Outcomes by (upstream, version).
-        usual_s: Usual time to the first byte by route.
-        rollouts: Rollout rows by upstream, from control.
-        entries: Entries that share the bounds, unreachable ones included.
-        silent: Those of them that control does not hear.
-        draining: Whether the process is leaving.
-        news: Set and replaced when control told something.
+        usual_s: Average time to the first byte in seconds, by route.
+        rollouts: Rollout rows from control, by upstream.
+        entries: Entries that share limits, including unreachable ones.
+        silent: Those of them that control cannot reach.
+        draining: Whether the process is shutting down.
+        news: Set and replaced at each update from control.
         started_at: When the process started, in seconds.
+        metrics: Metrics of the entry.
     """
 
     def __init__(
@@ -156,34 +162,34 @@
 
     @property
     def routes_version(self) -> int:
-        """Version of the configuration that is served, 0 for none."""
+        """Version of the route configuration in use, 0 if there is none."""
         return self.table.config.version if self.table else 0
 
     @property
     def ready(self) -> bool:
-        """Whether callers should use this entry."""
+        """Whether this entry accepts requests."""
         return self.table is not None and not self.draining
 
     def add_load(self, endpoint: str, running: int, tokens: int) -> None:
-        """Adds to the own load of an endpoint, or takes from it."""
+        """Adds the amounts, which may be negative, to an endpoint's load."""
         before = self.loads.pop(endpoint, Load())
         load = Load(before.running + running, before.waiting_tokens + tokens)
         if load.running or load.waiting_tokens:
             self.loads[endpoint] = load
 
     def tell(self) -> None:
-        """Wakes all that wait for news from control."""
+        """Wakes all tasks that wait for an update from control."""
         news, self.news = self.news, asyncio.Event()
         news.set()
 
     async def learn(self, known: Callable[[], bool]) -> bool:
-        """Waits, shortly after the start, until something is known.
+        """Waits until ``known()`` is true, but only shortly after the start.
 
-        A process that has just started may be able to serve in a moment; one
-        that has run for a while and knows nothing cannot.
+        A process that has just started is likely to receive the missing state
+        soon; one that has been running for a while is not.
 
         Returns:
-            Whether it is known now.
+            Whether ``known()`` is true now.
         """
         until = min(self.started_at + LEARN_S, self.now() + MOST_WAIT_S)
         while not known():
@@ -200,15 +206,15 @@
     def note_first_byte(
         self, route: str, took_s: float, *, usual: bool
     ) -> bool:
-        """Notes a time to the first byte.
+        """Records a time to the first byte.
 
         Args:
             route: Name of the route.
-            took_s: The time in seconds.
-            usual: Whether it shapes what is usual; a new version's does not.
+            took_s: Time to the first byte, in seconds.
+            usual: Whether it updates the average; false for a new version.
 
         Returns:
-            Whether it took several times as long as usual.
+            Whether it took several times as long as the average.
         """
         known = self.usual_s.get(route)
         if usual:
@@ -217,7 +223,7 @@
         return known is not None and took_s > SLOW_TIMES * known
 
     def retry_window(self, upstream: str) -> retries.RetryWindow:
-        """Returns the upstream's window of retries."""
+        """Returns the upstream's retry window, creating it if needed."""
         found = self.retries.get(upstream)
         if found is None:
             found = self.retries[upstream] = retries.RetryWindow(
--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -1,7 +1,8 @@
-"""The answer to one caller, over all attempts that make it up.
+"""The answer to one caller, assembled from one or more attempts.
 
-A resumed stream keeps the head of its first run, and only whole events go out,
-so that a run that broke off inside an event can be continued by another.
+A resumed stream keeps the status and headers of its first attempt. Only
+complete events are forwarded, so that an attempt that ended within an event can
+be continued by another one.
 """
 
 from _arbutuswalk.relay import core
@@ -12,17 +13,19 @@
 
 
 class Delivery:
-    """What a caller has been sent.
+    """State of the answer to one caller.
 
     Attributes:
+        relay: State of the entry.
         request: The request.
-        caller: How to answer.
-        left: Whether the caller has gone.
-        started: Whether status and headers have gone out.
-        last_event: Id of the last event that the caller has.
-        events: Events sent.
-        first_at: When the first event went out, in seconds.
-        wake: Called when the caller leaves.
+        caller: Callbacks that send the answer.
+        left: Whether the caller has closed the connection.
+        started: Whether status and headers have been sent.
+        last_event: Id of the last event sent to the caller.
+        events: Number of events sent.
+        first_at: When the first event was sent, in seconds.
+        framer: Splits the current attempt's data into events.
+        wake: Called when the caller closes the connection.
     """
 
     def __init__(
@@ -44,12 +47,12 @@
         self.wake = lambda: None
 
     def leave(self) -> None:
-        """Notes that the caller has closed the connection."""
+        """Records that the caller has closed the connection."""
         self.left = True
         self.wake()
 
     async def start(self, status: int, headers: replies.Headers) -> None:
-        """Sends the head of the first run; later ones only go on."""
+        """Sends status and headers, unless an earlier attempt has."""
         self.framer = framing.Framer()
         if self.started:
             return
@@ -59,7 +62,7 @@
         )
 
     async def feed(self, data: bytes) -> None:
-        """Passes on the events that ``data`` completes."""
+        """Sends the events that ``data`` completes."""
         fresh = []
         for event in self.framer.feed(data):
             event_id = sse.id_of(event)
@@ -75,7 +78,7 @@
         await self.caller.body(b"".join(fresh))
 
     async def finish(self) -> None:
-        """Ends a complete stream; what is left is no whole event."""
+        """Ends a complete stream, sending the rest after the last event."""
         if self.framer.rest:
             await self.caller.body(self.framer.rest)
         await self.caller.end()
@@ -83,13 +86,13 @@
     async def whole(
         self, status: int, headers: replies.Headers, body: bytes
     ) -> None:
-        """Sends an endpoint's whole answer."""
+        """Sends an endpoint's complete answer."""
         await self.own(status, self.relay.dialect.answer_headers(headers), body)
 
     async def own(
         self, status: int, headers: replies.Headers, body: bytes
     ) -> None:
-        """Sends a whole answer with the headers given."""
+        """Sends a complete answer with exactly these headers."""
         self.started = True
         await self.caller.head(status, headers)
         if body:
--- a/src/_arbutuswalk/relay/fetching.py
+++ b/src/_arbutuswalk/relay/fetching.py
@@ -1,9 +1,10 @@
-"""Fetches a new configuration of routes from control, part by part.
+"""Fetches a new route configuration from control in parts.
 
-Every member tells an entry of a new version at the same moment, and a large
-configuration takes longer over an entry's link than a watch may. So one member
-is asked, in parts between which other messages pass, and another goes on where
-it fails: all members pack a version to the same bytes.
+All members announce a new version to an entry at the same time, and a large
+configuration takes longer to transfer over an entry's link than a watch may
+last. It is therefore fetched from one member only, in parts that let other
+messages pass in between. If the member fails, another one continues at the same
+offset, since all members encode a version to the same bytes.
 """
 
 import asyncio
@@ -17,19 +18,19 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 PART_TIMEOUT_S = 0.5
-"""Time for one part: ten times what it takes over 5 Mbit/s."""
+"""Time-out for one part: ten times its transfer time at 5 Mbit/s."""
 PAUSE_S = 0.1
-"""Pause after no member gave a part."""
+"""Pause after all members have failed to send a part."""
 
 
 class Source(Protocol):
-    """A member of control that is watched.
+    """A watched member of the control group.
 
     Attributes:
-        address: Its link address.
-        link: Link to it.
-        answered: Whether its last answer was good.
-        routes_version: Newest configuration that it told of.
+        address: Link address of the member.
+        link: Link to the member.
+        answered: Whether the last watch succeeded.
+        routes_version: Newest configuration version announced by the member.
     """
 
     address: str
@@ -39,14 +40,14 @@
 
 
 class Progress:
-    """Parts of one version that have come so far."""
+    """Parts of one version received so far."""
 
     def __init__(self):
         self.version = 0
         self.data = b""
 
     def add(self, part: ttypes.RoutesPart, offset: int) -> bool:
-        """Adds a part asked for at ``offset``; returns whether it is whole."""
+        """Adds the part at ``offset``; returns whether all were received."""
         if part.version != self.version:
             self.version = part.version
             self.data = b""
@@ -60,12 +61,12 @@
     served: Callable[[], int],
     take: Callable[[Any, str], None],
 ) -> None:
-    """Fetches until the newest version that a member told of is served.
+    """Fetches until the newest version announced by any member is in use.
 
     Args:
-        sources: Returns the members that are watched.
-        served: Returns the version that is served now.
-        take: Serves a configuration, given the address it came from.
+        sources: Returns the watched members.
+        served: Returns the version in use.
+        take: Applies a configuration, given the address it came from.
     """
     progress = Progress()
     failed: set[str] = set()
--- a/src/_arbutuswalk/relay/intake.py
+++ b/src/_arbutuswalk/relay/intake.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may be relayed, and by which route."""
+"""Admission control: selects a request's route or refuses the request."""
 
 from typing import NamedTuple
 
@@ -17,24 +17,30 @@
 STATUS_OVER_QUOTA = 429
 STATUS_UNAVAILABLE = 503
 STARTING_RETRY_S = 0.3
-"""When to come back to an entry that has no configuration yet."""
+"""Retry-After of an entry that has no configuration yet."""
 MAX_RETRY_AFTER_S = 5.0
 RETRY_SPREAD = 0.5
-"""Part of the wait over which returns are spread."""
+"""Random increase of Retry-After, as a share of the wait."""
 DEFAULT_DEADLINE_S = 60.0
-"""Deadline of a caller that names none; the route's time-out is shorter."""
+"""Deadline of a caller that sets none; the route's time-out is shorter."""
 
 
 class Arrival(NamedTuple):
-    """A request as it was read, before anything is known of it.
+    """A request as it was read, before admission.
 
     Attributes:
-        id: Id of the caller's attempt, empty if it bears none.
-        host: Host header, lower case, without a port.
-        path: Path without its query.
-        key: Caller's key, empty if there is none.
-        deadline_s: Time the caller waits, None if it does not say.
-        headers: Headers to pass on.
+        id: Id of the caller's attempt, empty if there is none.
+        method: HTTP method.
+        host: Host header in lower case, without the port.
+        path: Path without the query.
+        target: Path and query as received.
+        key: API key of the caller, empty if there is none.
+        deadline_s: Time the caller waits, None if not specified.
+        headers: Headers to forward.
+        body: Complete body.
+        prompt: Prompt of a model request, None for other requests.
+        last_event: Id of the last event that the caller has, or empty.
+        came_at: When it was read, in seconds.
     """
 
     id: str
@@ -52,7 +58,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request is not relayed; it has not run and never will."""
+    """Refusal of a request, which has not run and will not be run."""
 
     status: int
     reason: str
@@ -60,7 +66,7 @@
 
 
 def admit(relay: core.Relay, arrival: Arrival) -> requests.Request | Refusal:
-    """Returns the request to relay, or why it is refused."""
+    """Returns the request to relay, or its refusal."""
     if relay.table is None:
         reason = "no configuration yet"
         return Refusal(STATUS_UNAVAILABLE, reason, STARTING_RETRY_S)
@@ -116,7 +122,7 @@
 
 
 def _take_quota(relay: core.Relay, request: requests.Request) -> Refusal | None:
-    """Takes the request's cost out of its workspace's quota."""
+    """Takes the request's cost from its workspace's quota."""
     workspace = request.workspace
     if workspace is None or not workspace.rate_per_s:
         return None
@@ -131,7 +137,7 @@
     )
     if not wait_s:
         return None
-    # Spread out, so that those refused together do not return together.
+    # Random, so that requests refused together are not all sent again at once.
     wait_s *= 1 + RETRY_SPREAD * relay.rng.random()
     return Refusal(
         STATUS_OVER_QUOTA,
@@ -159,7 +165,7 @@
 
 
 def cost(request: requests.Request) -> int:
-    """Returns what a request takes of its workspace's quota."""
+    """Returns the cost of a request in its workspace's quota."""
     if not request.workspace.by_tokens:
         return 1
     return request.tokens or request.workspace.default_tokens
--- a/src/_arbutuswalk/relay/placing.py
+++ b/src/_arbutuswalk/relay/placing.py
@@ -1,4 +1,4 @@
-"""Finds the endpoint for a request among those that announced themselves."""
+"""Selects an endpoint for a request from the directory."""
 
 import zlib
 from typing import NamedTuple
@@ -10,16 +10,16 @@
 from _arbutuswalk.routing import endpoints
 
 SUSPECT_S = 1.5
-"""How long an endpoint that failed comes last: longer than a heartbeat takes
-to tell that it lives, or is gone."""
+"""Time for which an endpoint is used last after a failure: longer than it takes
+a heartbeat to show that it is alive, or a missing one that it is gone."""
 SILENT_HEARTBEATS = 3.3
-"""Heartbeats after whose lack an endpoint comes last: one may be lost and the
-next be late."""
+"""Heartbeat intervals without a heartbeat after which an endpoint is used last:
+one heartbeat may be lost and the next one late."""
 PER_MILLE = 1000
 
 
 class Place(NamedTuple):
-    """Where a request goes, and the tokens to be read there."""
+    """The endpoint for a request, and the prompt tokens to be read there."""
 
     endpoint: directory.Endpoint
     tokens: int
@@ -28,7 +28,7 @@
 def place(
     relay: core.Relay, request: requests.Request, tried: set[str]
 ) -> Place | None:
-    """Returns an endpoint that was not tried yet, or None."""
+    """Returns an endpoint that was not tried yet, None if there is none."""
     now = relay.now()
     rows = [
         row
@@ -52,14 +52,14 @@
 
 
 def sent(relay: core.Relay, request: requests.Request, endpoint: str) -> None:
-    """Notes that an endpoint now gets the request's parts."""
+    """Records that the request's shared parts are sent to an endpoint."""
     part = _last_part(_work(request))
     if part:
         relay.recent.note(part, endpoint, relay.now())
 
 
 def suspect(relay: core.Relay, endpoint: str, reason: str) -> None:
-    """Lets an endpoint that failed come last for a while."""
+    """Makes a failed endpoint a last resort for a limited time."""
     if relay.suspects.get(endpoint, 0.0) < relay.now():
         events.record(events.Event.ENDPOINT_SUSPECT, endpoint, reason)
     relay.suspects[endpoint] = relay.now() + SUSPECT_S
@@ -84,9 +84,9 @@
 
 
 def _work(request: requests.Request) -> endpoints.Work | None:
-    """Returns what a model request brings, None for a plain one.
+    """Returns the prompt of a model request, None for other requests.
 
-    The very last part is the request's own, unless it is the only one.
+    The last part is unique to the request, unless it is the only one.
     """
     if request.prompt is None:
         return None
@@ -102,7 +102,7 @@
 def _by_version(
     relay: core.Relay, request: requests.Request, rows: list[directory.Row]
 ) -> list[directory.Row]:
-    """Keeps to the version that a rollout gives this request."""
+    """Filters endpoints by the version that a rollout assigns to a request."""
     rollout = relay.rollouts.get(request.upstream)
     if rollout is None:
         return rows
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -1,4 +1,4 @@
-"""Carries one request through: endpoints, retries, resumption, final answer."""
+"""Relays a request: endpoint selection, retries, resumption, final answer."""
 
 import json
 
@@ -12,15 +12,15 @@
 from _arbutuswalk.streams import replies
 
 RETRY_AFTER_S = 0.5
-"""When a refused caller may come back: about as long as a crowded or lost
-endpoint needs to be noticed, left, and replaced by another."""
+"""Retry-After of a refusal: about the time in which an overloaded or lost
+endpoint is detected, avoided and replaced by another."""
 PROBLEM_TYPE = b"application/problem+json"
 
 
 async def relay_request(
     relay: core.Relay, request: requests.Request, to_caller: delivery.Delivery
 ) -> None:
-    """Sends a request until it is answered, or gives it up at once."""
+    """Sends a request to endpoints until it is answered or has failed."""
     relay.retry_window(request.upstream).note_request(relay.now())
     tally = results.Tally()
     tried: set[str] = set()
@@ -61,7 +61,7 @@
 async def _await_place(
     relay: core.Relay, request: requests.Request
 ) -> placing.Place | None:
-    """Waits for an endpoint in the first seconds of the process."""
+    """Waits for an endpoint in the first seconds after the process start."""
     found = await relay.learn(
         lambda: placing.place(relay, request, set()) is not None
     )
@@ -71,7 +71,10 @@
 def _may_arrive(
     relay: core.Relay, request: requests.Request, tally: results.Tally
 ) -> bool:
-    """Takes the retry budget for a sending after one that arrived."""
+    """Returns whether the retry budget permits another attempt.
+
+    Attempts that did not reach an endpoint take nothing from the budget.
+    """
     if not tally.arrivals:
         return True
     window = relay.retry_window(request.upstream)
@@ -142,7 +145,7 @@
     reason: str,
     retry_after_s: float = 0.0,
 ) -> None:
-    """Answers a request that has not run and never will."""
+    """Refuses a request that has not run and will not be run."""
     request = to_caller.request
     note_refusal(
         relay,
@@ -164,7 +167,7 @@
     route: str = "",
     held_s: float = 0.0,
 ) -> None:
-    """Writes a refusal down."""
+    """Records a refusal in the log and the metrics."""
     events.record(
         events.Event.REFUSED,
         request_id,
@@ -180,7 +183,7 @@
 def problem(
     status: int, reason: str, retry_after_s: float = 0.0
 ) -> tuple[int, replies.Headers, bytes]:
-    """Returns status, headers and body of an answer of our own."""
+    """Returns status, headers and body of an error answer by the entry."""
     body = json.dumps({"status": status, "detail": reason}).encode()
     headers = [
         (b"content-type", PROBLEM_TYPE),
--- a/src/_arbutuswalk/relay/request.py
+++ b/src/_arbutuswalk/relay/request.py
@@ -1,4 +1,4 @@
-"""A request as the data path sees it, whatever protocol brought it."""
+"""Requests on the data path, independent of the protocol of the caller."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -9,20 +9,20 @@
 
 
 class Part(NamedTuple):
-    """One part of a prompt that other requests may share."""
+    """A part of a prompt that other requests may have in common."""
 
     id: str
     tokens: int
 
 
 class Prompt(NamedTuple):
-    """What a caller says of a model request.
+    """Prompt of a model request, as described by the caller.
 
     Attributes:
         model: Name of the model.
-        tokens_in: Tokens of the prompt.
-        tokens_out: Most tokens of the answer.
-        parts: Parts of the prompt in order, the shared ones first.
+        tokens_in: Number of prompt tokens.
+        tokens_out: Maximum number of answer tokens.
+        parts: Parts of the prompt in order, shared ones first.
     """
 
     model: str
@@ -37,18 +37,18 @@
     Attributes:
         id: Id of the caller's attempt.
         method: HTTP method.
-        target: Path and query as they came.
-        headers: replies.Headers to pass on.
-        body: Whole body.
-        route: Route it goes by.
-        upstream: Upstream that the route's weights picked.
-        workspace: Whose it is, None on an anonymous route.
+        target: Path and query as received.
+        headers: Headers to forward.
+        body: Complete body.
+        route: Route that matched.
+        upstream: Upstream drawn by the weights of the route.
+        workspace: Workspace of the caller, None on an anonymous route.
         came_at: When it was read, in seconds.
-        deadline: When the caller or the route stops waiting.
-        waits_s: How long the caller waits from ``came_at`` on.
-        prompt: Its prompt, if it is a model request.
+        deadline: When the time of the caller or of the route is up.
+        waits_s: Time the caller waits after ``came_at``.
+        prompt: Prompt of a model request, None for other requests.
         last_event: Id of the last event that the caller has, or empty.
-        fingerprint: What it is known by when it comes again.
+        fingerprint: Digest that identifies it when it is sent again.
     """
 
     id: str
@@ -68,25 +68,25 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens in and out, 0 if nothing is known of them."""
+        """Prompt and answer tokens, 0 if unknown."""
         if self.prompt is None:
             return 0
         return self.prompt.tokens_in + self.prompt.tokens_out
 
     @property
     def priority(self) -> int:
-        """Rank, 0 first; the workspace's goes before the route's."""
+        """Priority, 0 the highest; the workspace's overrides the route's."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
 
 
 class Caller(NamedTuple):
-    """How to answer a caller.
+    """Callbacks that send the answer to a caller.
 
     Attributes:
         head: Sends status and headers.
-        body: Sends a piece of the body; waits while the caller is slow.
+        body: Sends a chunk of the body; waits while the caller is slow.
         end: Ends a complete answer.
     """
 
@@ -96,13 +96,13 @@
 
 
 class Send(NamedTuple):
-    """One sending of a request to an endpoint.
+    """Parameters of one attempt to send a request to an endpoint.
 
     Attributes:
-        endpoint: Id that only the meant endpoint accepts.
-        left_s: Time that the endpoint may take.
+        endpoint: Id that only the intended endpoint accepts.
+        left_s: Time left for the endpoint to answer.
         last_event: Id of the last event that the caller has, or empty.
-        rank: Urgency of a model request from 0 to 9, None to leave it open.
+        rank: Priority of a model request from 0 to 9, None to send none.
     """
 
     endpoint: str
@@ -112,12 +112,12 @@
 
 
 class Dialect(NamedTuple):
-    """How endpoints of a deployment are spoken to.
+    """HTTP conventions of the endpoints of a deployment.
 
     Attributes:
-        encode: Returns the bytes of a request for one sending.
-        read: Tells what an answer's status and headers mean.
-        answer_headers: Returns the headers that go on to the caller.
+        encode: Returns the bytes of a request for one attempt.
+        read: Interprets the status and headers of an answer.
+        answer_headers: Returns the headers to forward to the caller.
     """
 
     encode: Callable[[Request, Send], bytes]
--- a/src/_arbutuswalk/relay/results.py
+++ b/src/_arbutuswalk/relay/results.py
@@ -1,7 +1,8 @@
-"""What became of one sending, and what to do next.
+"""Results of attempts, and the retry decisions based on them.
 
-Pure decisions: which outcome permits another endpoint, and which final answer
-is true. A refusal says that the request has not run and never will.
+Pure functions that decide which result permits an attempt at another endpoint
+and which final status is correct. A refusal means that the request has not run
+and will not be run.
 """
 
 import dataclasses
@@ -12,46 +13,46 @@
 STATUS_BAD_GATEWAY = 502
 STATUS_TIMEOUT = 504
 FAILURE_STATUS = 500
-"""First status that tells of a failure of the upstream's own."""
+"""Lowest status that indicates a failure of the upstream itself."""
 
 MAX_SENDS = 4
-"""Endpoints tried for one request, those that did not run it included."""
+"""Attempts per request, including those that did not run it."""
 LEAST_LEFT_S = 0.03
-"""Time below which no endpoint could answer any more: a round trip between
-failure domains and the shortest work."""
+"""Remaining time below which no endpoint can answer: a round trip between
+failure domains and the shortest processing time."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotSent:
-    """No byte has left."""
+    """No byte of the request was sent."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotRun:
-    """The endpoint said that it has not run the request."""
+    """The endpoint reported that it has not run the request."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The request may have run; its answer is lost or not usable."""
+    """The request may have run; its answer is lost or unusable."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class TimedOut:
-    """The time of the request is up while an endpoint may still run it."""
+    """The deadline has passed while an endpoint may still run the request."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Answered:
-    """The endpoint's whole answer."""
+    """The endpoint sent a complete answer."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -60,12 +61,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Delivered:
-    """A stream was passed on to its end."""
+    """A stream was forwarded to its end."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerLeft:
-    """Nobody waits for the answer any more."""
+    """The caller has closed the connection."""
 
 
 Result = NotSent | NotRun | Lost | TimedOut | Answered | Delivered | CallerLeft
@@ -73,12 +74,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Tally:
-    """What one request has used so far.
+    """Counts of the attempts of one request.
 
     Attributes:
-        sends: Times it was sent to an endpoint or tried to be.
-        arrivals: Times a byte of it may have reached one.
-        runs: Times it may have run.
+        sends: Attempts to send it to an endpoint.
+        arrivals: Attempts of which a byte may have reached an endpoint.
+        runs: Attempts in which it may have run.
     """
 
     sends: int = 0
@@ -87,7 +88,7 @@
 
 
 def add(tally: Tally, result: Result) -> Tally:
-    """Returns the tally after one more sending."""
+    """Returns the tally after one more attempt."""
     arrived = not isinstance(result, NotSent)
     ran = arrived and not isinstance(result, NotRun)
     return Tally(
@@ -100,7 +101,7 @@
 def may_try_again(
     result: Result, route: routeconfig.Route, tally: Tally, left_s: float
 ) -> bool:
-    """Tells whether the request may go to another endpoint."""
+    """Returns whether the request may be sent to another endpoint."""
     if tally.sends >= MAX_SENDS or left_s < LEAST_LEFT_S:
         return False
     if isinstance(result, NotSent | NotRun):
@@ -118,9 +119,9 @@
 
 
 def final_status(result: Result, tally: Tally) -> int:
-    """Returns the status of our own final answer.
+    """Returns the status of the entry's own final answer.
 
-    Anything that may have run, now or before, is no refusal.
+    A request that may have run in any attempt is not answered with a refusal.
     """
     if isinstance(result, TimedOut):
         return STATUS_TIMEOUT if tally.runs else STATUS_UNAVAILABLE
--- a/src/_arbutuswalk/relay/usage.py
+++ b/src/_arbutuswalk/relay/usage.py
@@ -1,16 +1,16 @@
-"""Counts of requests that began to run, by window and workspace."""
+"""Counts of started requests by window and workspace."""
 
 KEPT_WINDOWS = 8
-"""Windows that are reported again, so that a new leader can add them up."""
+"""Windows included in every report, so that a new leader can sum them up."""
 
 
 class Usage:
     """Counts of this process since its start.
 
     Attributes:
-        window_s: Length of a window; windows are counted from the epoch.
-        counts: Count by workspace, by number of the window.
-        offset_s: What to add to the wall clock to get true time.
+        window_s: Length of a window; windows are numbered from the epoch.
+        counts: Count by workspace, by window number.
+        offset_s: Correction added to the wall clock.
     """
 
     def __init__(self, *, window_s: float):
@@ -19,7 +19,7 @@
         self.offset_s = 0.0
 
     def count(self, workspace: str, wall: float) -> None:
-        """Counts a request that began to run at ``wall``."""
+        """Counts a request that started at ``wall``."""
         window = int((wall + self.offset_s) // self.window_s)
         counts = self.counts.get(window)
         if counts is None:
--- a/src/_arbutuswalk/relay/watching.py
+++ b/src/_arbutuswalk/relay/watching.py
@@ -1,7 +1,7 @@
-"""Follows control: endpoints, configuration of routes, rollouts, other entries.
+"""Watches control for endpoints, routes, rollouts and other entries' state.
 
-The entry watches every control process it knows of and merges what they say.
-While none answers it goes on with what it knows.
+The entry watches every known control process and merges their replies. While
+none answers, it continues with the last known state.
 """
 
 import asyncio
@@ -21,30 +21,36 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 WATCH_TIMEOUT_S = 1.2
-"""Longest time for an answer: three times as long as control waits."""
+"""Time-out of a watch: three times as long as control holds it open."""
 PAUSE_S = 0.2
 """Pause after a failed watch."""
 START_PAUSE_S = 0.05
-"""The same while nothing is known yet: control may start at the same moment."""
+"""The same before the first configuration: control may be starting at the same
+time."""
 FORGET_S = 20.0
-"""Silence after which an endpoint is forgotten, as at control."""
+"""Time without an announcement after which an endpoint is removed, the same as
+at control."""
 STRANGER_S = 30.0
-"""How long a control process is watched that is no member and no seed."""
+"""Time without an answer after which a control process that is not a seed is no
+longer watched."""
 
 
 class Feed:
-    """One control process that is watched.
+    """A watched control process.
 
     Attributes:
-        session: Its start, which revisions belong to.
-        revision: Revision of its directory that was taken.
+        address: Link address of the process.
+        link: Link to the process.
+        session: Identifies its start; revisions are valid within a session.
+        revision: Newest revision of its directory received.
         heard_at: When it last answered, in seconds.
-        term: Term in which it decides alone, 0 if it does not.
-        answered: Whether its last answer was good.
-        routes_version: Newest configuration of routes that it told of.
-        wall_offset: Its time of day less ours, None before it answered.
-        reported_loads: Own loads that it was last told, by endpoint.
-        reported_taken: Own quota takings that it was last told, by workspace.
+        term: Term in which it is the leader, 0 if it is not.
+        answered: Whether the last watch succeeded.
+        routes_version: Newest route configuration version it announced.
+        wall_offset: Its wall clock minus ours, None before it answered.
+        reported_loads: Own loads last reported to it, by endpoint.
+        reported_taken: Own quota use last reported to it, by workspace.
+        task: Task that watches it.
     """
 
     def __init__(self, *, address: str, now: float):
@@ -63,16 +69,16 @@
 
 
 class Watcher:
-    """All feeds of an entry.
+    """Watches all control processes known to an entry.
 
     Attributes:
-        relay: Tables that the news go into.
-        report: Returns what the entry says of itself.
+        relay: State of the entry, which the replies update.
         seeds: Link addresses from the settings.
-        feeds: Feed by link address.
-        hears_since: Since when some control process has answered without a
-            gap, None while none does.
-        fetching: Fetches a new configuration, None while there is none.
+        listens_on: Address that accepts callers' requests.
+        feeds: Watched control process by link address.
+        hears_since: Since when at least one control process has been answering
+            without interruption, None while none does.
+        fetching: Task that fetches a new configuration, None before the first.
     """
 
     def __init__(self, *, relay: core.Relay, seeds: list[str], listens_on: str):
@@ -84,7 +90,7 @@
         self.fetching: asyncio.Task | None = None
 
     def tick(self) -> None:
-        """Watches new members and stops watching those that are gone."""
+        """Updates the set of watched processes and expires old state."""
         now = self.relay.now()
         for address in self.seeds:
             self._follow(address)
@@ -107,9 +113,9 @@
             )
 
     def _forget_silent(self, now: float) -> None:
-        """Drops silent endpoints, but only if they could have been heard.
+        """Removes endpoints without announcements, unless control is lost.
 
-        Without control the entry goes on with the endpoints that it knows.
+        Without control, the entry continues with the known endpoints.
         """
         if not any(feed.answered for feed in self.feeds.values()):
             self.hears_since = None
@@ -148,7 +154,7 @@
                 events.record(events.Event.CONTROL_LOST, feed.address, reason)
             feed.term = 0
             if isinstance(reply, link.TimedOut):
-                # The connection may be silent for good while new ones work.
+                # The connection may be dead while a new one would work.
                 feed.link.close("timed out")
             known = self.relay.table is not None
             await asyncio.sleep(PAUSE_S if known else START_PAUSE_S)
@@ -220,7 +226,7 @@
         self.relay.tell()
 
     def _follow_routes(self, feed: Feed) -> None:
-        """Fetches a newer configuration than the one that is served."""
+        """Starts fetching a configuration newer than the one in use."""
         idle = self.fetching is None or self.fetching.done()
         if idle and feed.routes_version > self.relay.routes_version:
             self.fetching = asyncio.ensure_future(
@@ -236,14 +242,14 @@
         self.relay.tell()
 
     def _take_rollouts(self, rollouts: dict[str, list]) -> None:
-        """Keeps the newest step of each rollout, whoever told of it."""
+        """Keeps the newest step of each rollout, from any control process."""
         for upstream, row in rollouts.items():
             known = self.relay.rollouts.get(upstream)
             if known is None or _rollout_age(row) > _rollout_age(known):
                 self.relay.rollouts[upstream] = row
 
     def _take_loads(self, feed: Feed, loads: dict[str, list[int]]) -> None:
-        """Takes other entries' loads: the sums less our own part of them."""
+        """Sets other entries' loads: the totals minus our own share."""
         self.relay.others = {
             name: core.Load(
                 max(0, running - own.running),
@@ -254,14 +260,14 @@
         }
 
     def _take_quotas(self, feed: Feed, taken: dict[str, float]) -> None:
-        """Takes what others drew: the sum less our own part of it."""
+        """Records other entries' quota use: the totals minus our own share."""
         now = self.relay.now()
         for name, bucket in self.relay.buckets.items():
             own = feed.reported_taken.get(name, 0.0)
             bucket.hear(taken.get(name, 0.0) - own, now)
 
     def _agree_on_time(self) -> None:
-        """Corrects a clock that stepped by the median of all clocks."""
+        """Corrects a clock step by the median offset of all clocks."""
         offsets = [
             feed.wall_offset
             for feed in self.feeds.values()
@@ -271,7 +277,7 @@
 
 
 def take_routes(relay: core.Relay, values: dict[str, Any], source: str) -> None:
-    """Serves a configuration of routes, unless it is not a newer one."""
+    """Puts a route configuration into use if it is newer than the current."""
     config = routeconfig.from_json(values)
     before = relay.routes_version
     if config.version <= before:
@@ -289,7 +295,7 @@
 
 
 def _spawn(coroutine: Awaitable[None]) -> None:
-    """Runs a closing task to its end."""
+    """Runs a coroutine, keeping a reference to its task until it is done."""
     task = asyncio.ensure_future(coroutine)
     _tasks.add(task)
     task.add_done_callback(_tasks.discard)
--- a/src/_arbutuswalk/routing/__init__.py
+++ b/src/_arbutuswalk/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choosing an upstream for one attempt."""
+"""Route lookup, endpoint directories and load balancing."""
--- a/src/_arbutuswalk/routing/announcements.py
+++ b/src/_arbutuswalk/routing/announcements.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, and its checks."""
+"""Announcements of upstreams and their validation."""
 
 import dataclasses
 from typing import Any
@@ -11,23 +11,23 @@
     """One announcement of an upstream.
 
     Attributes:
-        id: Identity, stable over restarts.
-        incarnation: Higher with each start.
-        sequence: Higher with each announcement of an incarnation.
-        address: ``IP:port`` that takes requests.
+        id: Identity, stable across restarts.
+        incarnation: Increases with each start.
+        sequence: Increases with each announcement of an incarnation.
+        address: ``IP:port`` that accepts requests.
         upstream: Name in the inventory.
-        version: Version it runs.
+        version: Software version.
         instance: Instance it runs on.
         domain: Failure domain.
         instance_class: Instance class.
         role: ``mixed``, ``prefill`` or ``decode``.
-        adapters: Adapters it has loaded.
-        slots: Requests it runs at a time.
-        running: Requests it runs now, by its lagging account.
-        cache_tokens: Size of its prefix cache.
-        fence: Highest fence it has obeyed.
-        leaving: Whether it is about to go.
-        leave_in_s: Seconds until it goes, when leaving.
+        adapters: Loaded adapters.
+        slots: Maximum number of concurrent requests.
+        running: Requests running when the announcement was made.
+        cache_tokens: Prefix cache capacity in tokens.
+        fence: Highest fencing token it has accepted.
+        leaving: Whether it is about to shut down.
+        leave_in_s: Seconds until shutdown, if leaving.
         echo: Whether it echoes request and attempt ids.
     """
 
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BadAnnouncement:
-    """An announcement that was refused, and why."""
+    """An invalid announcement and the problems found in it."""
 
     problems: tuple[str, ...]
 
@@ -87,7 +87,7 @@
 
 
 def check(raw: Any) -> Announcement | BadAnnouncement:
-    """Checks parsed JSON that claims to be an announcement."""
+    """Validates a decoded JSON value as an announcement."""
     if not isinstance(raw, dict):
         return BadAnnouncement(problems=("announcement: not an object",))
     checked = settings.check(raw, _FIELDS, where="announcement")
--- a/src/_arbutuswalk/routing/choose.py
+++ b/src/_arbutuswalk/routing/choose.py
@@ -1,8 +1,8 @@
-"""Choosing one upstream: expected wait, uncached prefill, price.
+"""Chooses an upstream by expected queueing, uncached prefill and price.
 
-All terms are in seconds, so that they can be added. Equal scores are broken
-by rendezvous hashing on the prefix, so that entries which know nothing of each
-other's choices still agree.
+All cost terms are in seconds, so that they can be added. Ties are broken by
+rendezvous hashing on the prompt prefix, so that entries choose the same
+upstream without exchanging their choices.
 """
 
 import hashlib
@@ -13,17 +13,19 @@
 from _arbutuswalk.routing import upstreams
 
 BOUND = 1.7
-"""Load over the mean at which affinity stops to attract."""
+"""Ratio of an upstream's load to the mean above which load outweighs cache
+affinity, as in consistent hashing with bounded loads."""
 
 
 class Weights(NamedTuple):
-    """What a choice is weighed by.
+    """Weights of the cost terms.
 
     Attributes:
-        prefill_tokens_per_s: Speed at which an engine reads a prompt.
-        service_s: Seconds a request holds a slot.
-        crowd_s: Seconds a full batch adds to a request.
-        price_s: Seconds worth paying the price of the cheapest once more.
+        prefill_tokens_per_s: Prefill throughput of an engine.
+        service_s: Seconds for which a request holds a slot.
+        crowd_s: Seconds that a full batch adds to a request.
+        price_s: Seconds of latency considered equal to a price one time the
+            cheapest higher.
     """
 
     prefill_tokens_per_s: float = 6000.0
@@ -36,12 +38,12 @@
 
 
 class Features(NamedTuple):
-    """What is known of a request before it is sent.
+    """Properties of a request that are known before it is sent.
 
     Attributes:
-        prompt_tokens: Estimated length of the prompt.
-        blocks: Hashes of its prefix.
-        affinity: What rendezvous hashing goes by.
+        prompt_tokens: Estimated prompt length in tokens.
+        blocks: Block hashes of the prompt prefix.
+        affinity: Key for rendezvous hashing.
     """
 
     prompt_tokens: int
@@ -64,13 +66,13 @@
     weights: Weights = DEFAULT_WEIGHTS,
     avoid: frozenset[str] = frozenset(),
 ) -> upstreams.Row | None:
-    """Returns the best upstream with a free slot, or None.
+    """Returns the cheapest upstream with a free slot, or None.
 
     Args:
-        rows: Upstreams that may get work.
-        features: The request.
-        weights: How terms are weighed.
-        avoid: Keys of upstreams to use only if there is no other.
+        rows: Upstreams eligible for new requests.
+        features: Features of the request.
+        weights: Weights of the cost terms.
+        avoid: Keys of upstreams to use only if no other has a free slot.
     """
     free = [row for row in rows if row.load < row.said["slots"]]
     preferred = [row for row in free if row.key not in avoid]
@@ -94,7 +96,7 @@
 
 
 def _crowding(row: upstreams.Row, mean: float, weights: Weights) -> float:
-    """Seconds lost to others in the batch, flat while below the bound."""
+    """Returns the delay by the batch in seconds, constant up to the bound."""
     slots = max(1, row.said["slots"])
     over = row.load + 1 - BOUND * (mean + 1)
     if over <= 0:
--- a/src/_arbutuswalk/routing/crashes.py
+++ b/src/_arbutuswalk/routing/crashes.py
@@ -1,10 +1,10 @@
-"""Requests that crash the endpoints that run them.
+"""Detects requests that crash the endpoints that run them.
 
-A request whose connection broke off is a suspect; if its endpoint is not heard
-again it was running there when the endpoint died. Entries report the deaths of
-each request's fingerprint, control adds them up, and a request that was there
-at several deaths is refused everywhere for a while. An endpoint that resets
-connections and lives on makes no suspect guilty.
+A request that loses its connection becomes a suspect. If the endpoint sends no
+further heartbeat, the request was running there when the endpoint died.
+Entries report these deaths by request fingerprint and control aggregates them;
+a request involved in several deaths is refused by all entries for a limited
+time. An endpoint that resets connections but keeps running is not a death.
 """
 
 import hashlib
@@ -13,17 +13,24 @@
 from _arbutuswalk.routing import directory
 
 CONFIRM_HEARTBEATS = 1.5
-"""Heartbeats for which an endpoint is silent after a lost connection if it has
-died."""
+"""Heartbeat intervals without a heartbeat after a lost connection that confirm
+an endpoint's death."""
 KEPT_S = 60.0
-"""How long a death counts against a request."""
+"""Time for which a death counts against a request."""
 DEATHS = 3
-"""Deaths at which a request is refused: innocent requests were there at one or
-two when several endpoints died together."""
+"""Deaths at which a request is refused. When several endpoints die together, a
+request that did not cause it can be involved in one or two deaths."""
 
 
 class Suspect(NamedTuple):
-    """A request that lost its connection to an endpoint."""
+    """A request that lost its connection to an endpoint.
+
+    Attributes:
+        fingerprint: Fingerprint of the request.
+        endpoint: Id of the endpoint.
+        born_ms: Start time of the endpoint, in Unix milliseconds.
+        at: When the connection was lost, in seconds.
+    """
 
     fingerprint: str
     endpoint: str
@@ -32,11 +39,11 @@
 
 
 class Crashes:
-    """Suspects and deaths that this entry knows of.
+    """Suspects and confirmed deaths known to one entry.
 
     Attributes:
         suspects: Requests whose endpoints may have died.
-        deaths: Time by endpoint's start, by fingerprint.
+        deaths: Times of deaths by endpoint start, by request fingerprint.
     """
 
     def __init__(self):
@@ -45,7 +52,7 @@
 
 
 def fingerprint(workspace: str, target: str, body: bytes) -> str:
-    """Returns what a request is known by when it comes again."""
+    """Returns a digest that identifies a request when it is sent again."""
     digest = hashlib.blake2b(body, digest_size=12)
     digest.update(f"\n{workspace}\n{target}".encode())
     return digest.hexdigest()
@@ -54,7 +61,7 @@
 def note_lost(
     crashes: Crashes, request: str, endpoint: directory.Endpoint, now: float
 ) -> None:
-    """Notes that a request lost its connection to an endpoint."""
+    """Records that a request lost its connection to an endpoint."""
     crashes.suspects.append(
         Suspect(request, endpoint.id, endpoint.born_ms, now)
     )
@@ -66,7 +73,11 @@
     now: float,
     heartbeat_s: float,
 ) -> list[Suspect]:
-    """Decides on suspects whose time is up; returns those at a death."""
+    """Resolves suspects whose confirmation time has passed.
+
+    Returns:
+        Suspects whose endpoints have died.
+    """
     confirm_s = CONFIRM_HEARTBEATS * heartbeat_s
     guilty = []
     waiting = []
@@ -84,7 +95,7 @@
 
 
 def add_up(reports: list[dict[str, list[str]]]) -> list[str]:
-    """Returns the fingerprints to refuse, from all entries' deaths."""
+    """Returns the fingerprints to refuse, given all entries' deaths."""
     starts: dict[str, set[str]] = {}
     for report in reports:
         for request, known in report.items():
@@ -97,7 +108,7 @@
     if row is None or row.endpoint.born_ms != suspect.born_ms:
         return True
     if row.endpoint.state != directory.READY:
-        # It leaves in an orderly way; the connection broke off for that.
+        # The connection was closed by an orderly shutdown.
         return False
     return row.heard_at < suspect.at
 
--- a/src/_arbutuswalk/routing/directory.py
+++ b/src/_arbutuswalk/routing/directory.py
@@ -1,9 +1,9 @@
-"""The directory of endpoints that announced themselves.
+"""Directory of announced endpoints.
 
-An endpoint is one running process of an upstream. Control and entries keep a
-directory each and merge announcements in any order: of one endpoint the newest
-start wins, and within a start the highest sequence. Leaving is final for a
-start, so that a late announcement cannot bring an endpoint back.
+An endpoint is one running process of an upstream. Control processes and entries
+each keep a directory and merge announcements in any order: for one endpoint the
+newest start wins, and within a start the highest sequence. Leaving is final
+within a start, so that a late announcement cannot make an endpoint ready again.
 """
 
 from typing import Any
@@ -15,20 +15,20 @@
 
 
 class Endpoint(NamedTuple):
-    """What an endpoint last said of itself.
+    """Newest announcement of an endpoint.
 
     Attributes:
-        id: Its id, which a later start may bear again.
-        born_ms: When this start began, in Unix milliseconds.
+        id: Endpoint id, which a later start may reuse.
+        born_ms: Time of this start, in Unix milliseconds.
         sequence: Number of the announcement within the start.
         upstream: Name of the upstream it serves.
         address: ``IP:port``.
         domain: Failure domain.
-        version: Version of its software.
-        slots: Requests it runs at once.
+        version: Software version.
+        slots: Maximum number of concurrent requests.
         state: ``ready``, ``leaving`` or ``gone``.
-        reclaimable: Whether the platform may take it away.
-        cold_s: Seconds for which it is still slow after its start.
+        reclaimable: Whether the platform may reclaim it at short notice.
+        cold_s: Remaining warm-up time in seconds.
     """
 
     id: str
@@ -45,13 +45,14 @@
 
 
 class Row(NamedTuple):
-    """An endpoint and when it was last heard.
+    """An endpoint and when it last announced itself.
 
     Attributes:
-        endpoint: What it said.
-        heard_at: Holder's time of the newest announcement, in seconds.
-        revision: Holder's revision at which it was last heard.
-        news_revision: Revision at which more than its sequence changed.
+        endpoint: The newest announcement.
+        heard_at: Local time of the newest announcement, in seconds.
+        revision: Directory revision of the newest announcement.
+        news_revision: Directory revision of the newest change other than of
+            the sequence or the remaining warm-up time.
     """
 
     endpoint: Endpoint
@@ -61,12 +62,12 @@
 
 
 class Directory:
-    """Rows of all endpoints known to one process.
+    """Endpoints known to one process.
 
     Attributes:
         rows: Row by endpoint id.
-        holders: Id of the endpoint at each address.
-        revision: Counts the changes.
+        holders: Endpoint id by address.
+        revision: Number of updates so far.
     """
 
     def __init__(self):
@@ -76,11 +77,11 @@
 
 
 def announce(directory: Directory, said: Endpoint, now: float) -> bool:
-    """Takes one announcement.
+    """Merges one announcement.
 
     Returns:
-        Whether it changed what requests may be sent where. A higher sequence
-        alone only shows that the endpoint lives.
+        Whether it changed anything relevant to routing. A higher sequence
+        alone only shows that the endpoint is alive.
     """
     known = directory.rows.get(said.id)
     merged = said if known is None else _merge(known.endpoint, said)
@@ -99,7 +100,7 @@
 def leave(
     directory: Directory, endpoint_id: str, born_ms: int | None, now: float
 ) -> bool:
-    """Notes that an endpoint deregistered; returns whether that is news."""
+    """Marks an endpoint as gone; returns whether that changed its state."""
     known = directory.rows.get(endpoint_id)
     if known is None:
         return False
@@ -112,7 +113,7 @@
 
 
 def expire(directory: Directory, now: float, silent_s: float) -> list[str]:
-    """Drops rows that were not heard for ``silent_s``; returns their ids."""
+    """Removes rows not updated for ``silent_s`` seconds; returns their ids."""
     old = [
         name
         for name, row in directory.rows.items()
@@ -124,7 +125,7 @@
 
 
 def forget(directory: Directory, name: str) -> None:
-    """Drops one row."""
+    """Removes the row of one endpoint id."""
     row = directory.rows.pop(name)
     if directory.holders.get(row.endpoint.address) == name:
         del directory.holders[row.endpoint.address]
@@ -140,17 +141,17 @@
 
 
 def has_news_since(directory: Directory, revision: int) -> bool:
-    """Tells whether more than sequences changed after ``revision``."""
+    """Returns whether anything but sequences changed after ``revision``."""
     return any(row.news_revision > revision for row in directory.rows.values())
 
 
 def from_json(fields: list[Any]) -> Endpoint:
-    """Parses an endpoint that went through JSON as a list."""
+    """Returns the endpoint whose fields were decoded from a JSON list."""
     return Endpoint(*fields)
 
 
 def _merge(known: Endpoint, said: Endpoint) -> Endpoint | None:
-    """Returns the newer of two announcements, None if nothing is new."""
+    """Merges two announcements; returns None if nothing changes."""
     if said.born_ms != known.born_ms:
         return said if said.born_ms > known.born_ms else None
     state = max(known.state, said.state, key=(READY, LEAVING, GONE).index)
--- a/src/_arbutuswalk/routing/endpoints.py
+++ b/src/_arbutuswalk/routing/endpoints.py
@@ -1,11 +1,11 @@
-"""Choosing one endpoint of an upstream for a request.
-
-Answers moderate to heavy load by many entries that hear of each other's loads
-with a lag. A model request goes where its prompt is read soonest: behind the
-tokens that wait there already, and without the parts that are cached there.
-Requests that share parts rank the endpoints alike, by rendezvous hashing, so
-that entries which never talk send them to the same one until it is crowded.
-Plain requests go where the fewest wait.
+"""Chooses an endpoint of an upstream for a request.
+
+Designed for moderate to heavy load from many entries that learn of each other's
+load with a lag. A model request goes to the endpoint expected to finish its
+prefill first, given the tokens queued there and the prompt parts cached there.
+Requests that share parts rank the endpoints in the same order, by rendezvous
+hashing, so that entries which do not communicate send them to the same endpoint
+until it is overloaded. Other requests go to the endpoint with the least load.
 """
 
 import hashlib
@@ -14,28 +14,29 @@
 from typing import NamedTuple
 
 RANKED = 3
-"""Endpoints by rank that a model request considers: enough to leave a crowded
-one, few enough that its parts stay in few caches."""
+"""Highest-ranked endpoints considered for a model request: enough to avoid an
+overloaded one, few enough that shared parts occupy few caches."""
 DRAWN = 2
-"""Further endpoints, drawn at random, that it considers: entries which see the
-same idle endpoint do not all go there at once."""
+"""Further endpoints considered, sampled at random, so that entries which see
+the same idle endpoint do not all choose it at once."""
 RUNNING_TOKENS = 150
-"""Tokens of a prompt in whose time one more running request delays a first
-event: it makes each step of the batch about a fiftieth longer."""
+"""Delay of the first event by one more running request, as the number of prompt
+tokens read in that time: each batch step takes about a fiftieth longer."""
 FAR_REQUESTS = 0.5
-"""Load that an endpoint in another failure domain counts as more."""
+"""Extra load assumed for an endpoint in another failure domain."""
 
 
 class Candidate(NamedTuple):
-    """An endpoint that may get a request.
+    """An endpoint eligible for a request.
 
     Attributes:
-        id: Its id.
-        running: Requests it runs or holds, by the newest estimate.
-        waiting_tokens: Tokens of prompts that it has not read yet.
-        slots: Requests it runs at once.
+        id: Endpoint id.
+        running: Estimated number of running and queued requests.
+        waiting_tokens: Prompt tokens that it has not read yet.
+        slots: Maximum number of concurrent requests.
         near: Whether it is in the entry's own failure domain.
-        doubtful: Whether it failed lately and should come last.
+        doubtful: Whether it failed recently and is to be used only as a last
+            resort.
     """
 
     id: str
@@ -47,12 +48,12 @@
 
 
 class Work(NamedTuple):
-    """What a model request brings.
+    """Size and shared parts of a model request's prompt.
 
     Attributes:
-        tokens: Tokens of its prompt.
-        parts: Ids and tokens of the parts that others share, the most widely
-            shared ones first.
+        tokens: Number of prompt tokens.
+        parts: Ids and token counts of the parts shared with other requests,
+            the most widely shared ones first.
     """
 
     tokens: int
@@ -60,7 +61,7 @@
 
 
 class Choice(NamedTuple):
-    """The endpoint chosen, and the tokens it will probably have to read."""
+    """The chosen endpoint and the prompt tokens probably not cached there."""
 
     id: str
     tokens: int
@@ -72,12 +73,12 @@
     sent_to: Collection[str],
     draws: tuple[float, float],
 ) -> Choice | None:
-    """Returns the endpoint to send to, None if there are none.
+    """Returns the endpoint to send to, or None without candidates.
 
     Args:
-        candidates: Endpoints that may get the request.
-        work: What a model request brings, None for a plain one.
-        sent_to: Endpoints that got the request's last shared part lately.
+        candidates: Endpoints eligible for the request.
+        work: Prompt of a model request, None for other requests.
+        sent_to: Endpoints that recently received the last shared part.
         draws: Random numbers in [0, 1).
     """
     trusted = [each for each in candidates if not each.doubtful]
@@ -121,17 +122,18 @@
 
 
 def _delay(each: Candidate, tokens: int) -> int:
-    """Returns tokens' worth of time until the prompt would be read."""
+    """Returns the expected time to read the prompt, in prompt tokens."""
     crowd = max(0, each.running - each.slots) * RUNNING_TOKENS * 4
     running = each.running * RUNNING_TOKENS
     return each.waiting_tokens + tokens + running + crowd
 
 
 def _unread(work: Work, place: int, was_sent: bool) -> int:
-    """Returns the tokens of the prompt that are probably not cached.
+    """Returns the number of prompt tokens that are probably not cached.
 
-    The first in rank is where entries send the last shared part, and so is an
-    endpoint that got it lately; the more widely shared ones are everywhere.
+    The last shared part is assumed to be cached at the highest-ranked endpoint
+    and at those that recently received it; more widely shared parts are assumed
+    to be cached at every endpoint.
     """
     parts = work.parts if place == 0 or was_sent else work.parts[:-1]
     return max(0, work.tokens - sum(tokens for _, tokens in parts))
--- a/src/_arbutuswalk/routing/evidence.py
+++ b/src/_arbutuswalk/routing/evidence.py
@@ -1,4 +1,4 @@
-"""Outcomes by upstream, version and route, and the local cut-off."""
+"""Request outcomes by upstream, version and route, and the local cut-off."""
 
 import collections
 from typing import NamedTuple
@@ -9,11 +9,12 @@
 CUT_ERRORS = 3
 CUT_WINDOW = 10
 CUT_FACTOR = 2.0
-"""How many times the old version's recent rate of errors is too much."""
+"""Multiple of the old version's recent error rate above which a new version is
+cut off."""
 
 
 class Side(NamedTuple):
-    """Where an outcome belongs."""
+    """Upstream, version and route to which an outcome belongs."""
 
     upstream: str
     version: str
@@ -21,13 +22,13 @@
 
 
 class Counts:
-    """Counts of one side since the entry started.
+    """Outcome counts of one version on one route since the entry started.
 
     Attributes:
-        ran: Requests that ended.
-        errors: Those that failed by the version's own fault.
-        timed: Good ones whose latency could be compared.
-        slow: Those of them slower than the old version's usual.
+        ran: Finished requests.
+        errors: Those that failed because of the version.
+        timed: Successful ones whose latency could be compared.
+        slow: Those of them well above the old version's latency.
         recent: The newest outcomes, true for an error.
     """
 
@@ -42,12 +43,12 @@
 
 
 class Evidence:
-    """All counts of one entry.
+    """Outcomes and latencies recorded by one entry.
 
     Attributes:
-        counts: Counts by side.
-        latencies: Newest first-token seconds by side.
-        cut: Sides that get nothing from this entry any more.
+        counts: Outcome counts by key.
+        latencies: Newest latencies in seconds, by key.
+        cut: Keys to which this entry sends no more requests.
     """
 
     def __init__(self):
@@ -56,7 +57,7 @@
         self.cut: set[Side] = set()
 
     def counts_of(self, side: Side) -> Counts:
-        """Returns the counts of a side."""
+        """Returns the outcome counts of a key, creating them if needed."""
         return self.counts.setdefault(side, Counts())
 
     def note(
@@ -68,14 +69,14 @@
         baseline: Side | None,
         on_trial: bool,
     ) -> bool:
-        """Notes one outcome; returns whether the side was cut off by it.
+        """Records one outcome; returns whether it caused a cut-off.
 
         Args:
-            side: Which version ran it, on which route.
-            failed: Whether it failed by the version's fault.
-            latency_s: First-token or whole latency, in seconds.
-            baseline: Side to compare latencies with.
-            on_trial: Whether the version is being moved to.
+            side: Version that ran the request, and its route.
+            failed: Whether it failed because of the version.
+            latency_s: First-token or total latency, in seconds.
+            baseline: Key to compare errors and latencies with.
+            on_trial: Whether this is the new version of a move.
         """
         counts = self.counts_of(side)
         counts.ran += 1
@@ -94,7 +95,7 @@
         return False
 
     def _should_cut(self, counts: Counts, baseline: Side | None) -> bool:
-        """Tells whether recent errors are too many, and not shared."""
+        """Returns whether the error rate is well above the old version's."""
         errors = sum(counts.recent)
         if errors < CUT_ERRORS:
             return False
@@ -107,10 +108,10 @@
     def _compare(
         self, counts: Counts, baseline: Side, latency_s: float
     ) -> None:
-        """Counts a latency, if enough is known to compare it with.
+        """Counts a latency if there are enough samples to compare it with.
 
-        One that cannot be compared must not count as quick: the old version
-        has most of those, and would look better than it is.
+        A latency that cannot be compared must not count as fast: most of these
+        belong to the old version, which would then look better than it is.
         """
         known = self.latencies.get(baseline, ())
         if len(known) < MIN_BASELINE:
@@ -120,7 +121,7 @@
         counts.slow += latency_s > SLOW_FACTOR * usual
 
     def report(self) -> dict[str, list[int]]:
-        """Returns counts by side, for the control group."""
+        """Returns outcome counts by key, for the control group."""
         return {
             "|".join(side): [
                 counts.ran,
--- a/src/_arbutuswalk/routing/prefixes.py
+++ b/src/_arbutuswalk/routing/prefixes.py
@@ -1,4 +1,4 @@
-"""Which prompt prefixes an upstream's cache probably holds."""
+"""Index of the prompt prefixes probably cached by an upstream."""
 
 import collections
 import hashlib
@@ -13,10 +13,10 @@
 
 
 def hash_blocks(text: str) -> tuple[str, ...]:
-    """Returns a chained hash for each whole block of ``text``.
+    """Returns a chained hash for each complete block of ``text``.
 
-    Two texts share the first n hashes if and only if they share the first n
-    blocks.
+    Two texts have the first n hashes in common if and only if they have the
+    first n blocks in common.
     """
     chain = hashlib.blake2b(digest_size=8)
     hashes = []
@@ -29,16 +29,16 @@
 
 
 class PrefixIndex:
-    """Block hashes one upstream probably holds, least recently used first.
+    """LRU index of the block hashes probably cached by one upstream.
 
-    It follows what this entry routed there and the cache events that the
-    upstream publishes. Events come late and with gaps; a gap lowers the trust
-    in the index instead of clearing it.
+    Updated from the requests that this entry routes there and from the cache
+    events that the upstream publishes. Events arrive late and with gaps; a gap
+    lowers the trust in the index instead of clearing it.
 
     Attributes:
-        capacity: Blocks the cache can hold.
+        capacity: Number of blocks that the cache can hold.
         blocks: Hashes, least recently used first.
-        trust: From 0 to 1, how far a hit is believed.
+        trust: Confidence in a hit, from 0 to 1.
         last_event: Sequence number of the newest event.
     """
 
@@ -51,7 +51,7 @@
         self.last_event = 0
 
     def note(self, hashes: Sequence[str]) -> None:
-        """Notes a prompt that was sent there."""
+        """Records the blocks of a prompt that was sent to the upstream."""
         for block in hashes:
             self.blocks[block] = None
             self.blocks.move_to_end(block)
@@ -59,7 +59,7 @@
             self.blocks.popitem(last=False)
 
     def match(self, hashes: Sequence[str]) -> int:
-        """Returns how many leading blocks are probably held."""
+        """Returns the number of leading blocks that are probably cached."""
         for i, block in enumerate(hashes):
             if block not in self.blocks:
                 return i
@@ -68,7 +68,7 @@
     def apply_event(
         self, sequence: int, stored: Sequence[str], removed: Sequence[str]
     ) -> None:
-        """Takes one cache event; old ones are ignored."""
+        """Applies one cache event; old ones are ignored."""
         if sequence <= self.last_event:
             return
         if sequence > self.last_event + 1 and self.last_event:
--- a/src/_arbutuswalk/routing/recent.py
+++ b/src/_arbutuswalk/routing/recent.py
@@ -1,19 +1,19 @@
-"""Which endpoints lately got which shared part of a prompt."""
+"""Tracks which endpoints recently received which shared prompt part."""
 
 import collections
 
 KEPT_S = 8.0
-"""How long a part counts as cached where it was sent: engines keep parts by
-last use, for some seconds under load."""
+"""Time for which a part is assumed to be cached where it was sent. Engines
+evict the least recently used parts, under load after some seconds."""
 MOST_PARTS = 20_000
-"""Parts remembered; the oldest go first."""
+"""Maximum number of parts tracked; the oldest are evicted first."""
 
 
 class Recent:
-    """Times at which this entry sent parts to endpoints.
+    """Times at which this entry sent prompt parts to endpoints.
 
     Attributes:
-        sent: Time by endpoint, by part, the part sent last at the end.
+        sent: Send time by endpoint id, by part, most recently sent last.
     """
 
     def __init__(self):
@@ -22,14 +22,14 @@
         )
 
     def note(self, part: str, endpoint: str, now: float) -> None:
-        """Notes that an endpoint got a part."""
+        """Records that a part was sent to an endpoint."""
         self.sent.setdefault(part, {})[endpoint] = now
         self.sent.move_to_end(part)
         if len(self.sent) > MOST_PARTS:
             self.sent.popitem(last=False)
 
     def holders(self, part: str, now: float) -> set[str]:
-        """Returns the endpoints that probably still hold a part."""
+        """Returns the endpoints where a part is probably still cached."""
         return {
             endpoint
             for endpoint, at in self.sent.get(part, {}).items()
--- a/src/_arbutuswalk/routing/routetable.py
+++ b/src/_arbutuswalk/routing/routetable.py
@@ -1,4 +1,4 @@
-"""Looking routes, keys and upstreams up in a configuration of routes."""
+"""Lookup of routes, keys and upstreams in a route configuration."""
 
 import random
 
@@ -6,12 +6,12 @@
 
 
 class RouteTable:
-    """A configuration of routes, indexed.
+    """An indexed route configuration.
 
     Attributes:
         config: The configuration.
-        routes: Route by host and prefix.
-        holders: Workspace by key.
+        routes: Route by host and path prefix.
+        holders: Workspace by API key.
     """
 
     def __init__(self, *, config: routeconfig.RouteConfig):
@@ -27,7 +27,7 @@
 
 
 def find(table: RouteTable, host: str, path: str) -> routeconfig.Route | None:
-    """Returns the host's route with the longest prefix of ``path``."""
+    """Returns the host's route with the longest matching path prefix."""
     end = len(path)
     while (end := path.rfind("/", 0, end)) >= 0:
         route = table.routes.get((host, path[: end + 1]))
@@ -37,7 +37,7 @@
 
 
 def pick_target(route: routeconfig.Route, rng: random.Random) -> str:
-    """Draws the upstream of a request by the route's weights."""
+    """Returns a random upstream, drawn by the weights of the route."""
     if len(route.targets) == 1:
         return route.targets[0].upstream
     weights = [target.weight for target in route.targets]
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -1,4 +1,4 @@
-"""The table of upstreams an entry knows, and the systems that age it."""
+"""Table of the upstreams known to an entry."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 
 class Health(enum.Enum):
-    """Whether an upstream may get new work."""
+    """Whether an upstream is eligible for new requests."""
 
     USABLE = "usable"
     SUSPECT = "suspect"
@@ -20,23 +20,23 @@
 
 
 class Row:
-    """One upstream as this entry sees it.
+    """One upstream as seen by this entry.
 
     Attributes:
-        said: Its newest announcement.
-        heard_at: When that was made, in this entry's seconds.
+        said: Newest announcement.
+        heard_at: When it was made, in seconds of this entry's clock.
         failed_at: When a connection to it last failed, or minus infinity.
-        leaves_at: When it goes away, if it is leaving.
-        sent: Attempts sent since the load report it carries.
-        ended: Attempts ended since that report.
-        active: Ids of this entry's attempts that run there now.
-        broken: Fingerprints of attempts that broke off there, while it is
-            not known whether the upstream died.
-        spared: When a broken attempt's upstream was found alive, in seconds,
-            by fingerprint.
-        isolated: Fingerprint it is reserved for, or empty.
-        index: Prefixes its cache probably holds.
-        price: Micro-units an hour, zero if unknown.
+        leaves_at: When it shuts down, infinity unless it is leaving.
+        sent: Attempts sent since the newest announcement.
+        ended: Attempts ended since the newest announcement.
+        active: Ids of this entry's attempts running there.
+        broken: Fingerprints of attempts whose connection was lost, while it
+            is not known whether the upstream died.
+        spared: When the upstream of an attempt with a lost connection was
+            found alive, in seconds, by fingerprint.
+        isolated: Fingerprint of the request it is reserved for, or empty.
+        index: Prefixes that are probably cached there.
+        price: Price in micro-units per hour, zero if unknown.
     """
 
     def __init__(self, *, said: announcements.Announcement, heard_at: float):
@@ -55,7 +55,7 @@
 
     @property
     def name(self) -> str:
-        """Name of the upstream in the inventory."""
+        """Upstream name in the inventory."""
         return self.said["upstream"]
 
     @property
@@ -65,12 +65,12 @@
 
     @property
     def load(self) -> int:
-        """Requests it runs: its report and what was sent since."""
+        """Estimated running requests: the announced ones and later changes."""
         reported = self.said["running"] + self.sent - self.ended
         return max(reported, len(self.active))
 
     def health(self, now: float) -> Health:
-        """Returns whether it may get new work at ``now``."""
+        """Returns whether it is eligible for new requests at ``now``."""
         if self.said["leaving"] or self.leaves_at < float("inf"):
             return Health.LEAVING
         if now - self.heard_at > SUSPECT_AFTER_S:
@@ -82,10 +82,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Joined:
-    """A new upstream or a new incarnation of one.
+    """A new upstream, or a new incarnation of a known one.
 
     Attributes:
-        replaced: The row of the older incarnation, if any.
+        row: Its new row.
+        replaced: Row of the previous incarnation, if any.
     """
 
     row: Row
@@ -94,7 +95,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Renewed:
-    """A known upstream was heard again."""
+    """An announcement of a known incarnation."""
 
     row: Row
     now_leaving: bool
@@ -102,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The announcement contradicts what is known."""
+    """An announcement that contradicts an earlier one."""
 
     reason: str
 
@@ -115,11 +116,11 @@
 
 
 class Table:
-    """Upstreams by identity.
+    """Upstreams known to an entry.
 
     Attributes:
         rows: Row by identity.
-        by_name: Identities by inventory name.
+        by_name: Rows by identity, by inventory name.
     """
 
     def __init__(self):
@@ -127,18 +128,18 @@
         self.by_name: dict[str, dict[str, Row]] = {}
 
     def named(self, name: str) -> list[Row]:
-        """Returns the rows of one upstream name."""
+        """Returns the rows of an inventory name."""
         return list(self.by_name.get(name, {}).values())
 
     def put(self, row: Row) -> None:
-        """Adds or replaces a row."""
+        """Adds a row, replacing one of the same identity."""
         identity = row.said["id"]
         self.remove(identity)
         self.rows[identity] = row
         self.by_name.setdefault(row.name, {})[identity] = row
 
     def remove(self, identity: str) -> Row | None:
-        """Removes and returns a row."""
+        """Removes and returns the row of an identity, None if unknown."""
         row = self.rows.pop(identity, None)
         if row is not None:
             self.by_name[row.name].pop(identity, None)
@@ -148,7 +149,7 @@
 def announce(
     table: Table, said: announcements.Announcement, *, heard_at: float
 ) -> Joined | Renewed | Refused:
-    """Takes an announcement, made at ``heard_at`` by this entry's clock."""
+    """Applies an announcement made at ``heard_at`` by this entry's clock."""
     row = table.rows.get(said["id"])
     if row is None or row.said["incarnation"] < said["incarnation"]:
         fresh = Row(said=said, heard_at=heard_at)
@@ -179,7 +180,7 @@
 
 
 def expire(table: Table, now: float) -> list[Gone]:
-    """Removes upstreams that were not heard for too long."""
+    """Removes upstreams without a recent announcement."""
     gone = []
     for identity, row in list(table.rows.items()):
         if now - row.heard_at > GONE_AFTER_S:
@@ -195,8 +196,8 @@
 
     Args:
         table: The table.
-        instances: Seconds of notice by instance.
-        now: When the notice was heard.
+        instances: Seconds until shutdown, by instance.
+        now: When the notice was received.
     """
     marked = []
     for row in table.rows.values():
@@ -209,7 +210,7 @@
 
 
 def usable(table: Table, name: str, now: float) -> list[Row]:
-    """Returns the upstreams of a name that may get new work."""
+    """Returns the upstreams of a name that are eligible for new requests."""
     return [
         row
         for row in table.named(name)
@@ -218,9 +219,10 @@
 
 
 def only_reserved(table: Table, name: str, now: float) -> bool:
-    """Tells whether all that are up are reserved for suspects, for a moment.
+    """Returns whether all usable upstreams are reserved for suspects.
 
-    A reservation ends once its suspect has completed or is convicted.
+    This is temporary: a reservation ends once its suspect request has completed
+    or has been confirmed to crash upstreams.
     """
     up = [row for row in table.named(name) if row.health(now) is Health.USABLE]
     return bool(up) and all(row.isolated for row in up)
--- a/src/_arbutuswalk/routing/versions.py
+++ b/src/_arbutuswalk/routing/versions.py
@@ -1,4 +1,4 @@
-"""Which version of an upstream a request goes to during a move."""
+"""Selects the upstream version for a request during a version move."""
 
 import hashlib
 from typing import Any
@@ -9,15 +9,15 @@
 def pick(
     view: dict[str, Any], upstream: str, route: str, request_id: str
 ) -> tuple[str, str]:
-    """Returns the version to use and the one to fall back to.
+    """Returns the version to use and the version to fall back to.
 
-    A request keeps its side for its whole life, since the draw is a hash of
-    its id. The fallback of the new version is the old one; the old one has
-    none, so that a share is never exceeded.
+    All attempts of a request get the same version, since the choice depends on
+    a hash of the request id. The new version falls back to the old one. The old
+    one has no fallback, so that the new version's share is never exceeded.
 
     Args:
-        view: The ``moves`` part of the entry's view.
-        upstream: Name in the inventory.
+        view: The ``moves`` section of the entry's view.
+        upstream: Upstream name in the inventory.
         route: Name of the route.
         request_id: Id of the request.
     """
@@ -32,6 +32,6 @@
 
 
 def draw(request_id: str) -> int:
-    """Returns a number below ``FULL`` that depends on the id alone."""
+    """Returns a hash of the request id, reduced to a number below ``FULL``."""
     digest = hashlib.blake2b(request_id.encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") % FULL
--- a/testing/relays.py
+++ b/testing/relays.py
@@ -1,4 +1,4 @@
-"""A relay with scripted endpoints on loopback, and a caller that records."""
+"""Fixtures: a relay, scripted endpoints on loopback and a recording caller."""
 
 import asyncio
 import json
@@ -100,7 +100,7 @@
 
 
 class Caller:
-    """Records what a caller is sent."""
+    """Records the answer sent to a caller."""
 
     def __init__(self):
         self.status = 0
@@ -123,9 +123,9 @@
 
 
 class Endpoint:
-    """A scripted endpoint; each request takes the next step of its script.
+    """A scripted endpoint; each request runs the next step of the script.
 
-    A step gets (request head, writer) and answers as it likes.
+    A step is called with the request head and the writer of the connection.
     """
 
     def __init__(self, *steps, name="e1", upstream="ops", **said):
@@ -199,7 +199,7 @@
 
 
 def reset_connection(writer):
-    """Closes a connection with a reset instead of its end."""
+    """Closes a connection with a TCP reset instead of a FIN."""
     sock = writer.get_extra_info("socket")
     at_once = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
@@ -227,7 +227,7 @@
 
 
 def stream(*events, end=True, close=False, extra=""):
-    """Sends (id, text) events in chunks."""
+    """Returns a step that sends (id, text) events as chunks."""
 
     async def step(head, writer):
         writer.write(
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts over real connections: cuts, silence, crossed answers, refusals."""
+"""Attempts over real connections: cut, silent, mismatched or refused."""
 
 import asyncio
 import socket
@@ -22,7 +22,7 @@
 
 
 class Upstream:
-    """Answers every connection with the same pieces."""
+    """Answers every connection with the same chunks of bytes."""
 
     def __init__(self, pieces, stay_open=False):
         self.pieces = pieces
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash endpoints, and innocent ones beside them."""
+"""Detection of requests that crash endpoints, without false positives."""
 
 import relays
 
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -1,4 +1,4 @@
-"""Endpoints that announce themselves, in any order."""
+"""Directory of endpoints, with announcements in any order."""
 
 import itertools
 
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -1,4 +1,4 @@
-"""Large configurations reach an entry over a narrow link, from one member."""
+"""Fetching large route configurations in parts from one control member."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 class Member:
-    """A member of control, and the link to it."""
+    """A fake control member that is also the link to it."""
 
     def __init__(self, name, version=7, values=None, fails=()):
         self.address = name
@@ -37,7 +37,7 @@
 
 
 class Entry:
-    """What an entry serves."""
+    """Records the configurations that an entry puts into use."""
 
     def __init__(self, version=3):
         self.version = version
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -1,4 +1,4 @@
-"""Requests through the relay, against endpoints that misbehave."""
+"""Requests relayed to endpoints that answer wrongly, late or not at all."""
 
 import asyncio
 
@@ -65,7 +65,7 @@
         assert 300 < int(line.partition(":")[2]) <= 500
 
     async def test_an_answer_larger_than_what_may_wait_comes_whole(self):
-        """Reading pauses for slow callers only, not before they get a byte."""
+        """Reading pauses for slow callers only, not before the first byte."""
         body = b"x" * (4 * connection.PAUSE_BYTES)
         relay = relays.make_relay()
         caller = await run(relay, relays.Endpoint(relays.answer(body)))
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -1,4 +1,4 @@
-"""Upstream table, prefix index, choice and version shares."""
+"""Upstream table, prefix index, choice of upstream and version shares."""
 
 import hypothesis
 import hypothesis.strategies as st
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -1,4 +1,4 @@
-"""An entry that follows control, and goes on without it."""
+"""An entry that watches control, and continues without it."""
 
 import asyncio
 import json
