--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -3,7 +3,7 @@
 from _arbutuswalk.base import events
 from _arbutuswalk.relay import core
 from _arbutuswalk.relay import delivery
-from _arbutuswalk.relay import placing
+from _arbutuswalk.relay import placement
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.relay import results
 from _arbutuswalk.routing import crashes
@@ -12,16 +12,16 @@
 from _arbutuswalk.streams import pool
 from _arbutuswalk.streams import replies
 
-ANSWER_GRACE_S = 0.1
+TIMEOUT_ANSWER_GRACE_S = 0.1
 """Time after the deadline for which an endpoint's own time-out answer is
 awaited: less than the quarter of a second by which an answer may be late."""
-STALL_S = 1.0
+STALL_TIMEOUT_S = 1.0
 """Time without data after which a stream is resumed at another endpoint: half
 of the shortest time after which callers abandon a stream."""
 MAX_WHOLE_BYTES = 8 * 1024 * 1024
 """Largest answer that is buffered completely: a tenth of the memory available
 to a process on the smallest instances, beside its own 30 MB."""
-MAX_RANK = 9
+MAX_PRIORITY_RANK = 9
 
 
 class Attempt:
@@ -33,9 +33,9 @@
         request: The request.
         endpoint: Endpoint that the request is sent to.
         exchange: HTTP exchange on the connection.
-        started: When the attempt started, in seconds.
-        unread: Prompt tokens that the endpoint has not read yet.
-        first_s: Seconds to the first byte of the answer, 0 before.
+        started_at: When the attempt started, in seconds.
+        unread_tokens: Prompt tokens that the endpoint has not read yet.
+        first_byte_s: Seconds to the first byte of the answer, 0 before.
     """
 
     def __init__(
@@ -43,15 +43,15 @@
         *,
         relay: core.Relay,
         to_caller: delivery.Delivery,
-        place: placing.Place,
+        chosen: placement.Placement,
     ):
         self.relay = relay
         self.delivery = to_caller
         self.request = to_caller.request
-        self.endpoint = place.endpoint
-        self.unread = place.tokens
-        self.started = relay.now()
-        self.first_s = 0.0
+        self.endpoint = chosen.endpoint
+        self.unread_tokens = chosen.tokens
+        self.started_at = relay.now()
+        self.first_byte_s = 0.0
         self.exchange = connections.Exchange(
             sent_id=self.request.id,
             has_body=self.request.method != "HEAD",
@@ -59,82 +59,86 @@
 
     async def run(self) -> results.Result:
         """Sends the request and returns the result."""
-        relay, name = self.relay, self.endpoint.id
-        relay.add_load(name, 1, self.unread)
-        placing.sent(relay, self.request, name)
+        relay, endpoint_id = self.relay, self.endpoint.id
+        relay.add_load(endpoint_id, 1, self.unread_tokens)
+        placement.record_sent(relay, self.request, endpoint_id)
         try:
-            result = await self._run()
+            result = await self._send()
         finally:
-            relay.add_load(name, -1, -self.unread)
-        self._note(result)
+            relay.add_load(endpoint_id, -1, -self.unread_tokens)
+        self._record_result(result)
         return result
 
-    def _read(self) -> None:
+    def _record_prompt_read(self) -> None:
         """Records that the endpoint has read the prompt."""
-        self.relay.add_load(self.endpoint.id, 0, -self.unread)
-        self.unread = 0
+        self.relay.add_load(self.endpoint.id, 0, -self.unread_tokens)
+        self.unread_tokens = 0
 
-    async def _run(self) -> results.Result:
+    async def _send(self) -> results.Result:
         careful = not self.request.route.repeatable
-        opened = await self.relay.pool.take(
+        connection = await self.relay.pool.take(
             self.endpoint.address, careful=careful
         )
-        if isinstance(opened, pool.NotOpened):
-            placing.suspect(self.relay, self.endpoint.id, opened.reason)
+        if isinstance(connection, pool.NotOpened):
+            placement.mark_suspect(
+                self.relay, self.endpoint.id, connection.reason
+            )
             self.relay.pool.drop(self.endpoint.address)
-            return results.NotSent(reason=opened.reason)
+            return results.NotSent(reason=connection.reason)
         left_s = self.request.deadline - self.relay.now()
-        if self.delivery.left or left_s < results.LEAST_LEFT_S:
-            self.relay.pool.give_back(opened)
-            if self.delivery.left:
+        if self.delivery.caller_left or left_s < results.MIN_TIME_LEFT_S:
+            self.relay.pool.give_back(connection)
+            if self.delivery.caller_left:
                 return results.CallerLeft()
             return results.NotSent(reason="no time left")
         send = requests.Send(
             endpoint=self.endpoint.id,
             left_s=left_s,
             last_event=self.delivery.last_event,
-            rank=min(MAX_RANK, self.request.priority),
+            rank=min(MAX_PRIORITY_RANK, self.request.priority),
         )
         data = self.relay.dialect.encode(self.request, send)
-        self.delivery.wake = self.exchange.news.set
-        opened.begin(data, self.exchange)
-        result = await self._follow(opened)
-        self._let_go(opened, result)
+        self.delivery.on_caller_left = self.exchange.news.set
+        connection.begin(data, self.exchange)
+        result = await self._receive_answer(connection)
+        self._release_connection(connection, result)
         return result
 
-    def _let_go(
-        self, opened: connections.Connection, result: results.Result
+    def _release_connection(
+        self, connection: connections.Connection, result: results.Result
     ) -> None:
         """Returns a reusable connection to the pool, aborts any other."""
-        whole = isinstance(
+        reusable = isinstance(
             result, results.Answered | results.Delivered | results.NotRun
         )
-        if whole and self.exchange.complete:
-            self.relay.pool.give_back(opened)
+        if reusable and self.exchange.complete:
+            self.relay.pool.give_back(connection)
         else:
-            opened.abort()
+            connection.abort()
 
-    async def _follow(self, opened: connections.Connection) -> results.Result:
+    async def _receive_answer(
+        self, connection: connections.Connection
+    ) -> results.Result:
         """Waits for the status and headers, then reads the answer's body."""
-        deadline = self.request.deadline + ANSWER_GRACE_S
+        deadline = self.request.deadline + TIMEOUT_ANSWER_GRACE_S
         while self.exchange.reply is None and not self.exchange.over:
-            ended = await self._news(deadline)
-            if ended is not None:
-                return ended
-        self.first_s = self.relay.now() - self.started
+            early_result = await self._wait_for_progress(deadline)
+            if early_result is not None:
+                return early_result
+        self.first_byte_s = self.relay.now() - self.started_at
         reply = self.exchange.reply
         if reply is None:
-            return self._lost(self.exchange.failure)
+            return self._record_lost(self.exchange.failure)
         if reply.ran and reply.good and self._is_stream():
-            return await self._stream(opened, deadline)
-        return await self._whole(opened, reply, deadline)
+            return await self._forward_stream(connection, deadline)
+        return await self._buffer_answer(connection, reply, deadline)
 
     def _is_stream(self) -> bool:
         return self.request.route.kind == routeconfig.STREAM
 
-    async def _whole(
+    async def _buffer_answer(
         self,
-        opened: connections.Connection,
+        connection: connections.Connection,
         reply: replies.Reply,
         deadline: float,
     ) -> results.Result:
@@ -142,53 +146,57 @@
         body = bytearray()
         while True:
             body += self.exchange.take()
-            opened.taken()
+            connection.taken()
             if len(body) > MAX_WHOLE_BYTES:
-                return self._lost(f"answer over {MAX_WHOLE_BYTES} bytes")
+                return self._record_lost(f"answer over {MAX_WHOLE_BYTES} bytes")
             if self.exchange.over:
                 break
-            ended = await self._news(deadline)
-            if ended is not None:
-                return ended
+            early_result = await self._wait_for_progress(deadline)
+            if early_result is not None:
+                return early_result
         if not reply.ran:
             return results.NotRun(reason=f"status {self.exchange.status}")
         if not self.exchange.complete:
-            return self._lost(self.exchange.failure)
-        self._count_begun(self.started)
+            return self._record_lost(self.exchange.failure)
+        self._count_usage(self.started_at)
         return results.Answered(
             status=self.exchange.status,
             headers=self.exchange.headers,
             body=bytes(body),
         )
 
-    async def _stream(
-        self, opened: connections.Connection, deadline: float
+    async def _forward_stream(
+        self, connection: connections.Connection, deadline: float
     ) -> results.Result:
         """Forwards events to the caller as they arrive."""
-        begun = False
-        await self.delivery.start(self.exchange.status, self.exchange.headers)
+        has_data = False
+        await self.delivery.start_stream(
+            self.exchange.status, self.exchange.headers
+        )
         while True:
             data = self.exchange.take()
-            opened.taken()
+            connection.taken()
             if data:
-                if not begun:
-                    self.first_s = self.relay.now() - self.started
-                    self._read()
-                    self._count_begun(self.relay.now())
-                begun = True
-                await self.delivery.feed(data)
+                if not has_data:
+                    self.first_byte_s = self.relay.now() - self.started_at
+                    self._record_prompt_read()
+                    self._count_usage(self.relay.now())
+                has_data = True
+                await self.delivery.send_events(data)
             if self.exchange.over and not self.exchange.pieces:
                 break
-            ended = await self._news(deadline, stalls=begun)
-            if ended is not None:
-                return ended
+            early_result = await self._wait_for_progress(
+                deadline, detect_stall=has_data
+            )
+            if early_result is not None:
+                return early_result
         if not self.exchange.complete:
-            return self._lost(self.exchange.failure)
-        await self.delivery.finish()
+            return self._record_lost(self.exchange.failure)
+        await self.delivery.finish_stream()
         return results.Delivered()
 
-    async def _news(
-        self, deadline: float, *, stalls: bool = False
+    async def _wait_for_progress(
+        self, deadline: float, *, detect_stall: bool = False
     ) -> results.Result | None:
         """Waits for progress of the exchange.
 
@@ -196,38 +204,42 @@
             The result if the attempt is over, None if it goes on.
         """
         now = self.relay.now()
-        until = deadline
-        may_resume = stalls and self.request.route.resumable
+        wait_until = deadline
+        may_resume = detect_stall and self.request.route.resumable
         if may_resume:
-            until = min(until, self.exchange.heard_at + STALL_S)
-        if self.delivery.left:
+            wait_until = min(
+                wait_until, self.exchange.heard_at + STALL_TIMEOUT_S
+            )
+        if self.delivery.caller_left:
             return results.CallerLeft()
-        if not await self.exchange.news_within(until - now):
-            if until < deadline:
-                return self._lost("stream stalled")
+        if not await self.exchange.news_within(wait_until - now):
+            if wait_until < deadline:
+                return self._record_lost("stream stalled")
             return results.TimedOut(reason="no time left")
-        return results.CallerLeft() if self.delivery.left else None
+        return results.CallerLeft() if self.delivery.caller_left else None
 
-    def _lost(self, reason: str) -> results.Lost:
-        crashes.note_lost(
+    def _record_lost(self, reason: str) -> results.Lost:
+        crashes.record_lost_connection(
             self.relay.crashes,
             self.request.fingerprint,
             self.endpoint,
             self.relay.now(),
         )
-        placing.suspect(self.relay, self.endpoint.id, reason)
+        placement.mark_suspect(self.relay, self.endpoint.id, reason)
         self.relay.pool.drop(self.endpoint.address)
         return results.Lost(reason=reason)
 
-    def _count_begun(self, at: float) -> None:
+    def _count_usage(self, started_at: float) -> None:
         workspace = self.request.workspace
         if workspace is not None:
-            ago = self.relay.now() - at
-            self.relay.usage.count(workspace.name, self.relay.wall() - ago)
+            elapsed_s = self.relay.now() - started_at
+            self.relay.usage.count(
+                workspace.name, self.relay.wall() - elapsed_s
+            )
 
-    def _note(self, result: results.Result) -> None:
+    def _record_result(self, result: results.Result) -> None:
         """Records the result in the log, the metrics and the outcomes."""
-        took = self.relay.now() - self.started
+        duration_s = self.relay.now() - self.started_at
         reason = getattr(result, "reason", "")
         if isinstance(result, results.Answered):
             reason = f"status {result.status}"
@@ -238,17 +250,19 @@
                 self.endpoint.id,
                 type(result).__name__,
                 reason,
-                round(took * 1000),
+                round(duration_s * 1000),
             )
         self.relay.metrics.record(
             "attempt",
             f'upstream="{self.request.upstream}",'
             f'outcome="{type(result).__name__}"',
-            took,
+            duration_s,
         )
-        self._note_outcome(result, took)
+        self._record_outcome(result, duration_s)
 
-    def _note_outcome(self, result: results.Result, took: float) -> None:
+    def _record_outcome(
+        self, result: results.Result, duration_s: float
+    ) -> None:
         key = (self.request.upstream, self.endpoint.version)
         outcomes = self.relay.outcomes.get(key)
         if outcomes is None:
@@ -258,18 +272,22 @@
         ):
             return
         outcomes.ran += 1
-        good = isinstance(result, results.Delivered) or (
+        succeeded = isinstance(result, results.Delivered) or (
             isinstance(result, results.Answered)
-            and result.status < results.FAILURE_STATUS
+            and result.status < results.MIN_FAILURE_STATUS
         )
-        outcomes.failed += not good
-        self.relay.health.note(
-            self.endpoint.id, failed=not good, now=self.relay.now()
+        outcomes.failed += not succeeded
+        self.relay.outlier_detector.note(
+            self.endpoint.id, failed=not succeeded, now=self.relay.now()
         )
-        if good:
+        if succeeded:
             rollout = self.relay.rollouts.get(self.request.upstream)
-            is_new = rollout is not None and rollout[0] == self.endpoint.version
+            is_new_version = (
+                rollout is not None and rollout[0] == self.endpoint.version
+            )
             outcomes.timed += 1
-            outcomes.slow += self.relay.note_first_byte(
-                self.request.route.name, self.first_s or took, usual=not is_new
+            outcomes.slow += self.relay.record_first_byte(
+                self.request.route.name,
+                self.first_byte_s or duration_s,
+                updates_average=not is_new_version,
             )
--- a/src/_arbutuswalk/relay/fetching.py
+++ b/src/_arbutuswalk/relay/config_fetch.py
@@ -23,7 +23,7 @@
 """Pause after all members have failed to send a part."""
 
 
-class Source(Protocol):
+class ControlMember(Protocol):
     """A watched member of the control group.
 
     Attributes:
@@ -39,14 +39,14 @@
     routes_version: int
 
 
-class Progress:
+class PartialConfig:
     """Parts of one version received so far."""
 
     def __init__(self):
         self.version = 0
         self.data = b""
 
-    def add(self, part: ttypes.RoutesPart, offset: int) -> bool:
+    def add_part(self, part: ttypes.RoutesPart, offset: int) -> bool:
         """Adds the part at ``offset``; returns whether all were received."""
         if part.version != self.version:
             self.version = part.version
@@ -57,55 +57,66 @@
 
 
 async def fetch(
-    sources: Callable[[], Sequence[Source]],
-    served: Callable[[], int],
-    take: Callable[[Any, str], None],
+    members: Callable[[], Sequence[ControlMember]],
+    version_in_use: Callable[[], int],
+    apply_config: Callable[[Any, str], None],
 ) -> None:
     """Fetches until the newest version announced by any member is in use.
 
     Args:
-        sources: Returns the watched members.
-        served: Returns the version in use.
-        take: Applies a configuration, given the address it came from.
+        members: Returns the watched members.
+        version_in_use: Returns the version in use.
+        apply_config: Applies a configuration, given the address it came from.
     """
-    progress = Progress()
-    failed: set[str] = set()
+    partial = PartialConfig()
+    failed_addresses: set[str] = set()
     while True:
-        ahead = [
-            each
-            for each in sources()
-            if each.answered and each.routes_version > served()
+        newer_members = [
+            member
+            for member in members()
+            if member.answered and member.routes_version > version_in_use()
         ]
-        if not ahead:
+        if not newer_members:
             return
-        untried = [each for each in ahead if each.address not in failed]
-        if not untried:
-            failed.clear()
+        untried_members = [
+            member
+            for member in newer_members
+            if member.address not in failed_addresses
+        ]
+        if not untried_members:
+            failed_addresses.clear()
             await asyncio.sleep(PAUSE_S)
             continue
-        source = max(untried, key=lambda each: each.routes_version)
-        offset = len(progress.data)
-        part = await source.link.call(
+        chosen_member = max(
+            untried_members, key=lambda member: member.routes_version
+        )
+        offset = len(partial.data)
+        part = await chosen_member.link.call(
             ttypes.RoutesRequest(offset=offset), timeout_s=PART_TIMEOUT_S
         )
-        if not isinstance(part, ttypes.RoutesPart) or part.version <= served():
-            failed.add(source.address)
+        if (
+            not isinstance(part, ttypes.RoutesPart)
+            or part.version <= version_in_use()
+        ):
+            failed_addresses.add(chosen_member.address)
             continue
-        if progress.add(part, offset):
-            _take_whole(progress, source.address, take, failed)
+        if partial.add_part(part, offset):
+            _apply_complete(
+                partial, chosen_member.address, apply_config, failed_addresses
+            )
 
 
-def _take_whole(
-    progress: Progress,
+def _apply_complete(
+    partial: PartialConfig,
     address: str,
-    take: Callable[[Any, str], None],
-    failed: set[str],
+    apply_config: Callable[[Any, str], None],
+    failed_addresses: set[str],
 ) -> None:
-    data, progress.data = progress.data, b""
+    data, partial.data = partial.data, b""
     try:
         values = packed.unpack(data)
     except ValueError as error:
-        failed.add(address)
+        failed_addresses.add(address)
         events.record(events.Event.ROUTES_UNREADABLE, address, str(error))
         return
-    take(values, address)
+    apply_config(values, address)
--- a/src/_arbutuswalk/relay/core.py
+++ b/src/_arbutuswalk/relay/core.py
@@ -9,7 +9,7 @@
 from _arbutuswalk.base import metrics
 from _arbutuswalk.limits import quota
 from _arbutuswalk.limits import retries
-from _arbutuswalk.relay import patience
+from _arbutuswalk.relay import lateness
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.relay import usage
 from _arbutuswalk.routing import crashes
@@ -19,18 +19,18 @@
 from _arbutuswalk.routing import routetable
 from _arbutuswalk.streams import pool
 
-UNKNOWN_ENTRIES = 16
+DEFAULT_ENTRY_COUNT = 16
 """Number of entries assumed to share a limit until control has reported it."""
 
-LEARN_S = 3.0
+STARTUP_WAIT_S = 3.0
 """Time after the process start in which requests wait for a configuration or an
 endpoint. Every endpoint has announced itself twice by then."""
-MOST_WAIT_S = 1.0
+MAX_STARTUP_WAIT_S = 1.0
 """Longest such wait of a single request."""
-USUAL_WEIGHT = 0.05
+FIRST_BYTE_WEIGHT = 0.05
 """Weight of a new sample in the moving average of the time to the first byte,
 which so covers about twenty requests."""
-SLOW_TIMES = 3.0
+SLOW_FIRST_BYTE_FACTOR = 3.0
 """Multiple of the average time to the first byte above which an answer is slow:
 faulty versions are several times slower."""
 
@@ -96,23 +96,23 @@
         table: Route configuration, None before the first.
         directory: Known endpoints.
         loads: Load from this entry by endpoint.
-        others: Load from other entries by endpoint.
-        health: Failure rates of endpoints that report good health.
+        other_loads: Load from other entries by endpoint.
+        outlier_detector: Failure rates of endpoints that report good health.
         crashes: Requests that were running when endpoints died.
-        refused: Fingerprints of requests that control has ordered to refuse.
-        patience: Longest deadlines of the callers of each route.
-        recent: Endpoints that recently received shared prompt parts.
-        suspects: Time until which an endpoint is used last, by id.
-        retries: Retry window by upstream.
+        refused_fingerprints: Requests to refuse, by order of control.
+        lateness: Longest deadlines of the callers of each route.
+        recent_parts: Endpoints that recently received shared prompt parts.
+        suspect_until: Time until which an endpoint is used last, by id.
+        retry_windows: Retry window by upstream.
         buckets: Quota bucket by workspace.
         usage: Started requests by window and workspace.
         outcomes: Outcomes by (upstream, version).
-        usual_s: Average time to the first byte in seconds, by route.
+        average_first_byte_s: Average time to the first byte, by route.
         rollouts: Rollout rows from control, by upstream.
-        entries: Entries that share limits, including unreachable ones.
-        silent: Those of them that control cannot reach.
+        entry_count: Entries that share limits, including unreachable ones.
+        unreachable_entries: Those of them that control cannot reach.
         draining: Whether the process is shutting down.
-        news: Set and replaced at each update from control.
+        control_updated: Set and replaced at each update from control.
         started_at: When the process started, in seconds.
         metrics: Metrics of the entry.
     """
@@ -140,23 +140,23 @@
         self.table: routetable.RouteTable | None = None
         self.directory = directory.Directory()
         self.loads: dict[str, Load] = {}
-        self.others: dict[str, Load] = {}
-        self.recent = recent.Recent()
-        self.patience = patience.Patience()
-        self.crashes = crashes.Crashes()
-        self.health = health.Health()
-        self.refused: frozenset[str] = frozenset()
-        self.suspects: dict[str, float] = {}
-        self.retries: dict[str, retries.RetryWindow] = {}
+        self.other_loads: dict[str, Load] = {}
+        self.recent_parts = recent.Recent()
+        self.lateness = lateness.LatenessTracker()
+        self.crashes = crashes.CrashTracker()
+        self.outlier_detector = health.Health()
+        self.refused_fingerprints: frozenset[str] = frozenset()
+        self.suspect_until: dict[str, float] = {}
+        self.retry_windows: dict[str, retries.RetryWindow] = {}
         self.buckets: dict[str, quota.Bucket] = {}
         self.usage = usage.Usage(window_s=options.usage_window_s)
         self.outcomes: dict[tuple[str, str], Outcomes] = {}
-        self.usual_s: dict[str, float] = {}
+        self.average_first_byte_s: dict[str, float] = {}
         self.rollouts: dict[str, list] = {}
-        self.entries = UNKNOWN_ENTRIES
-        self.silent = 0
+        self.entry_count = DEFAULT_ENTRY_COUNT
+        self.unreachable_entries = 0
         self.draining = False
-        self.news = asyncio.Event()
+        self.control_updated = asyncio.Event()
         self.started_at = now()
         self.metrics = metrics.Metrics()
 
@@ -172,63 +172,73 @@
 
     def add_load(self, endpoint: str, running: int, tokens: int) -> None:
         """Adds the amounts, which may be negative, to an endpoint's load."""
-        before = self.loads.pop(endpoint, Load())
-        load = Load(before.running + running, before.waiting_tokens + tokens)
+        previous = self.loads.pop(endpoint, Load())
+        load = Load(
+            previous.running + running, previous.waiting_tokens + tokens
+        )
         if load.running or load.waiting_tokens:
             self.loads[endpoint] = load
 
     def tell(self) -> None:
         """Wakes all tasks that wait for an update from control."""
-        news, self.news = self.news, asyncio.Event()
-        news.set()
+        former_event, self.control_updated = (
+            self.control_updated,
+            asyncio.Event(),
+        )
+        former_event.set()
 
-    async def learn(self, known: Callable[[], bool]) -> bool:
-        """Waits until ``known()`` is true, but only shortly after the start.
+    async def learn(self, is_known: Callable[[], bool]) -> bool:
+        """Waits until ``is_known()`` is true, but only shortly after the start.
 
         A process that has just started is likely to receive the missing state
         soon; one that has been running for a while is not.
 
         Returns:
-            Whether ``known()`` is true now.
+            Whether ``is_known()`` is true now.
         """
-        until = min(self.started_at + LEARN_S, self.now() + MOST_WAIT_S)
-        while not known():
-            left = until - self.now()
-            if left <= 0:
+        wait_until = min(
+            self.started_at + STARTUP_WAIT_S, self.now() + MAX_STARTUP_WAIT_S
+        )
+        while not is_known():
+            left_s = wait_until - self.now()
+            if left_s <= 0:
                 return False
             try:
-                async with asyncio.timeout(left):
-                    await self.news.wait()
+                async with asyncio.timeout(left_s):
+                    await self.control_updated.wait()
             except TimeoutError:
-                return known()
+                return is_known()
         return True
 
-    def note_first_byte(
-        self, route: str, took_s: float, *, usual: bool
+    def record_first_byte(
+        self, route: str, took_s: float, *, updates_average: bool
     ) -> bool:
         """Records a time to the first byte.
 
         Args:
             route: Name of the route.
             took_s: Time to the first byte, in seconds.
-            usual: Whether it updates the average; false for a new version.
+            updates_average: Whether to update the average with it; false for
+                a new version.
 
         Returns:
             Whether it took several times as long as the average.
         """
-        known = self.usual_s.get(route)
-        if usual:
-            before = took_s if known is None else known
-            self.usual_s[route] = before + USUAL_WEIGHT * (took_s - before)
-        return known is not None and took_s > SLOW_TIMES * known
+        average = self.average_first_byte_s.get(route)
+        if updates_average:
+            previous = took_s if average is None else average
+            self.average_first_byte_s[route] = previous + FIRST_BYTE_WEIGHT * (
+                took_s - previous
+            )
+        return average is not None and took_s > SLOW_FIRST_BYTE_FACTOR * average
 
     def retry_window(self, upstream: str) -> retries.RetryWindow:
         """Returns the upstream's retry window, creating it if needed."""
-        found = self.retries.get(upstream)
-        if found is None:
-            found = self.retries[upstream] = retries.RetryWindow(
+        window = self.retry_windows.get(upstream)
+        if window is None:
+            window = self.retry_windows[upstream] = retries.RetryWindow(
                 ratio=self.options.retry_ratio,
                 extra=self.options.retry_extra,
                 window_s=self.options.retry_window_s,
             )
-        return found
+        return window
--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -6,8 +6,8 @@
 """
 
 from _arbutuswalk.relay import core
-from _arbutuswalk.relay import events as sse
 from _arbutuswalk.relay import request as requests
+from _arbutuswalk.relay import sse
 from _arbutuswalk.streams import framing
 from _arbutuswalk.streams import replies
 
@@ -19,13 +19,13 @@
         relay: State of the entry.
         request: The request.
         caller: Callbacks that send the answer.
-        left: Whether the caller has closed the connection.
+        caller_left: Whether the caller has closed the connection.
         started: Whether status and headers have been sent.
         last_event: Id of the last event sent to the caller.
-        events: Number of events sent.
-        first_at: When the first event was sent, in seconds.
+        event_count: Number of events sent.
+        first_event_at: When the first event was sent, in seconds.
         framer: Splits the current attempt's data into events.
-        wake: Called when the caller closes the connection.
+        on_caller_left: Called when the caller closes the connection.
     """
 
     def __init__(
@@ -38,20 +38,20 @@
         self.relay = relay
         self.request = request
         self.caller = caller
-        self.left = False
+        self.caller_left = False
         self.started = False
         self.last_event = request.last_event
-        self.events = 0
-        self.first_at = 0.0
+        self.event_count = 0
+        self.first_event_at = 0.0
         self.framer = framing.Framer()
-        self.wake = lambda: None
+        self.on_caller_left = lambda: None
 
     def leave(self) -> None:
         """Records that the caller has closed the connection."""
-        self.left = True
-        self.wake()
+        self.caller_left = True
+        self.on_caller_left()
 
-    async def start(self, status: int, headers: replies.Headers) -> None:
+    async def start_stream(self, status: int, headers: replies.Headers) -> None:
         """Sends status and headers, unless an earlier attempt has."""
         self.framer = framing.Framer()
         if self.started:
@@ -61,35 +61,37 @@
             status, self.relay.dialect.answer_headers(headers)
         )
 
-    async def feed(self, data: bytes) -> None:
+    async def send_events(self, data: bytes) -> None:
         """Sends the events that ``data`` completes."""
-        fresh = []
+        new_events = []
         for event in self.framer.feed(data):
-            event_id = sse.id_of(event)
-            if not sse.is_after(event_id, self.last_event):
+            event_id = sse.parse_id(event)
+            if not sse.is_newer(event_id, self.last_event):
                 continue
             self.last_event = event_id or self.last_event
-            fresh.append(event + framing.SEPARATOR)
-        if not fresh:
+            new_events.append(event + framing.SEPARATOR)
+        if not new_events:
             return
-        if not self.events:
-            self.first_at = self.relay.now()
-        self.events += len(fresh)
-        await self.caller.body(b"".join(fresh))
+        if not self.event_count:
+            self.first_event_at = self.relay.now()
+        self.event_count += len(new_events)
+        await self.caller.body(b"".join(new_events))
 
-    async def finish(self) -> None:
+    async def finish_stream(self) -> None:
         """Ends a complete stream, sending the rest after the last event."""
         if self.framer.rest:
             await self.caller.body(self.framer.rest)
         await self.caller.end()
 
-    async def whole(
+    async def send_answer(
         self, status: int, headers: replies.Headers, body: bytes
     ) -> None:
         """Sends an endpoint's complete answer."""
-        await self.own(status, self.relay.dialect.answer_headers(headers), body)
+        await self.send_local_answer(
+            status, self.relay.dialect.answer_headers(headers), body
+        )
 
-    async def own(
+    async def send_local_answer(
         self, status: int, headers: replies.Headers, body: bytes
     ) -> None:
         """Sends a complete answer with exactly these headers."""
--- a/src/_arbutuswalk/relay/intake.py
+++ b/src/_arbutuswalk/relay/intake.py
@@ -11,15 +11,15 @@
 from _arbutuswalk.streams import replies
 
 STATUS_BAD_REQUEST = 400
-STATUS_NO_KEY = 401
-STATUS_NO_ROUTE = 404
-STATUS_TOO_LARGE = 413
-STATUS_OVER_QUOTA = 429
+STATUS_UNAUTHORIZED = 401
+STATUS_NOT_FOUND = 404
+STATUS_CONTENT_TOO_LARGE = 413
+STATUS_TOO_MANY_REQUESTS = 429
 STATUS_UNAVAILABLE = 503
-STARTING_RETRY_S = 0.3
+STARTUP_RETRY_AFTER_S = 0.3
 """Retry-After of an entry that has no configuration yet."""
 MAX_RETRY_AFTER_S = 5.0
-RETRY_SPREAD = 0.5
+RETRY_AFTER_JITTER = 0.5
 """Random increase of Retry-After, as a share of the wait."""
 DEFAULT_DEADLINE_S = 60.0
 """Deadline of a caller that sets none; the route's time-out is shorter."""
@@ -69,30 +69,32 @@
     """Returns the request to relay, or its refusal."""
     if relay.table is None:
         reason = "no configuration yet"
-        return Refusal(STATUS_UNAVAILABLE, reason, STARTING_RETRY_S)
+        return Refusal(STATUS_UNAVAILABLE, reason, STARTUP_RETRY_AFTER_S)
     route = routetable.find(relay.table, arrival.host, arrival.path)
     if route is None:
-        return Refusal(STATUS_NO_ROUTE, "no such route")
+        return Refusal(STATUS_NOT_FOUND, "no such route")
     if not arrival.id:
         return Refusal(STATUS_BAD_REQUEST, "the request bears no id")
-    limit = relay.table.config.limits.max_body_bytes
-    if limit and len(arrival.body) > limit:
-        return Refusal(STATUS_TOO_LARGE, f"body over {limit} bytes")
+    max_body_bytes = relay.table.config.limits.max_body_bytes
+    if max_body_bytes and len(arrival.body) > max_body_bytes:
+        return Refusal(
+            STATUS_CONTENT_TOO_LARGE, f"body over {max_body_bytes} bytes"
+        )
     workspace = None
-    if relay.table.holders and not route.anonymous:
-        workspace = relay.table.holders.get(arrival.key)
+    if relay.table.workspaces_by_key and not route.anonymous:
+        workspace = relay.table.workspaces_by_key.get(arrival.key)
         if workspace is None:
-            return Refusal(STATUS_NO_KEY, "unknown key")
-    request = _request(relay, arrival, route, workspace)
-    if request.fingerprint in relay.refused:
-        reason = f"it crashed {crashes.DEATHS} endpoints"
-        return Refusal(STATUS_UNAVAILABLE, reason, crashes.KEPT_S)
-    relay.patience.note(route.name, arrival.deadline_s)
+            return Refusal(STATUS_UNAUTHORIZED, "unknown key")
+    request = _make_request(relay, arrival, route, workspace)
+    if request.fingerprint in relay.refused_fingerprints:
+        reason = f"it crashed {crashes.DEATHS_TO_REFUSE} endpoints"
+        return Refusal(STATUS_UNAVAILABLE, reason, crashes.DEATH_RETENTION_S)
+    relay.lateness.record(route.name, arrival.deadline_s)
     refusal = _take_quota(relay, request)
     return refusal or request
 
 
-def _request(
+def _make_request(
     relay: core.Relay,
     arrival: Arrival,
     route: routeconfig.Route,
@@ -127,20 +129,20 @@
     if workspace is None or not workspace.rate_per_s:
         return None
     now = relay.now()
-    bucket = _bucket(relay, workspace, now)
+    bucket = _quota_bucket(relay, workspace, now)
     wait_s = bucket.take(
         cost(request),
         now,
-        entries=relay.entries,
-        silent=relay.silent,
-        late=relay.patience.is_late(request, now),
+        entries=relay.entry_count,
+        silent=relay.unreachable_entries,
+        late=relay.lateness.is_late(request, now),
     )
     if not wait_s:
         return None
     # Random, so that requests refused together are not all sent again at once.
-    wait_s *= 1 + RETRY_SPREAD * relay.rng.random()
+    wait_s *= 1 + RETRY_AFTER_JITTER * relay.rng.random()
     return Refusal(
-        STATUS_OVER_QUOTA,
+        STATUS_TOO_MANY_REQUESTS,
         f"quota of workspace {workspace.name} is used up:"
         f" {bucket.level:.0f} of {bucket.burst:.0f} tokens, rate"
         f" {bucket.rate:.0f}, part {bucket.part:.2f}, others take"
@@ -149,7 +151,7 @@
     )
 
 
-def _bucket(
+def _quota_bucket(
     relay: core.Relay, workspace: routeconfig.Workspace, now: float
 ) -> quota.Bucket:
     rate, burst = workspace.rate_per_s, workspace.burst
--- a/src/_arbutuswalk/relay/patience.py
+++ b/src/_arbutuswalk/relay/lateness.py
@@ -7,31 +7,35 @@
 
 from _arbutuswalk.relay import request as requests
 
-DECAY = 0.999
+LONGEST_DEADLINE_DECAY = 0.999
 """Factor applied to the longest deadline at each request, so that a single
 caller with a long deadline does not make all others late permanently."""
 
 
-class Patience:
+class LatenessTracker:
     """Longest deadlines of the callers of each route.
 
     Attributes:
-        longest_s: Longest deadline in seconds, by route.
+        longest_deadline_s: Longest deadline in seconds, by route.
     """
 
     def __init__(self):
-        self.longest_s: dict[str, float] = {}
+        self.longest_deadline_s: dict[str, float] = {}
 
-    def note(self, route: str, waits_s: float | None) -> None:
+    def record(self, route: str, waits_s: float | None) -> None:
         """Records how long a caller waits, None if not specified."""
         if waits_s is None:
             return
-        longest = self.longest_s.get(route, 0.0) * DECAY
-        self.longest_s[route] = max(longest, waits_s)
+        decayed_s = (
+            self.longest_deadline_s.get(route, 0.0) * LONGEST_DEADLINE_DECAY
+        )
+        self.longest_deadline_s[route] = max(decayed_s, waits_s)
 
     def is_late(self, request: requests.Request, now: float) -> bool:
         """Returns whether the route's latency objective is already missed."""
         route = request.route
-        longest_s = self.longest_s.get(route.name, request.waits_s)
-        waited_s = longest_s - request.waits_s + now - request.came_at
+        longest_deadline_s = self.longest_deadline_s.get(
+            route.name, request.waits_s
+        )
+        waited_s = longest_deadline_s - request.waits_s + now - request.came_at
         return 0 < route.objective_s < waited_s
--- a/src/_arbutuswalk/relay/placing.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -9,25 +9,25 @@
 from _arbutuswalk.routing import directory
 from _arbutuswalk.routing import endpoints
 
-SUSPECT_S = 1.5
+SUSPECT_DURATION_S = 1.5
 """Time for which an endpoint is used last after a failure: longer than it takes
 a heartbeat to show that it is alive, or a missing one that it is gone."""
-SILENT_HEARTBEATS = 3.3
+MAX_HEARTBEAT_INTERVALS = 3.3
 """Heartbeat intervals without a heartbeat after which an endpoint is used last:
 one heartbeat may be lost and the next one late."""
 PER_MILLE = 1000
 
 
-class Place(NamedTuple):
+class Placement(NamedTuple):
     """The endpoint for a request, and the prompt tokens to be read there."""
 
     endpoint: directory.Endpoint
     tokens: int
 
 
-def place(
+def find_placement(
     relay: core.Relay, request: requests.Request, tried: set[str]
-) -> Place | None:
+) -> Placement | None:
     """Returns an endpoint that was not tried yet, None if there is none."""
     now = relay.now()
     rows = [
@@ -37,53 +37,60 @@
         and row.endpoint.state == directory.READY
         and row.endpoint.id not in tried
     ]
-    allowed = _by_version(relay, request, rows)
-    work = _work(request)
-    failing = relay.health.doubtful([row.endpoint.id for row in allowed], now)
-    found = endpoints.choose(
-        [_candidate(relay, row, now, failing) for row in allowed],
-        work,
-        relay.recent.holders(_last_part(work), now),
+    eligible = _filter_by_version(relay, request, rows)
+    prompt_profile = _prompt_profile(request)
+    outliers = relay.outlier_detector.doubtful(
+        [row.endpoint.id for row in eligible], now
+    )
+    choice = endpoints.choose(
+        [_make_candidate(relay, row, now, outliers) for row in eligible],
+        prompt_profile,
+        relay.recent_parts.holders(_last_shared_part(prompt_profile), now),
         (relay.rng.random(), relay.rng.random()),
     )
-    if found is None:
+    if choice is None:
         return None
-    return Place(relay.directory.rows[found.id].endpoint, found.tokens)
+    return Placement(relay.directory.rows[choice.id].endpoint, choice.tokens)
 
 
-def sent(relay: core.Relay, request: requests.Request, endpoint: str) -> None:
+def record_sent(
+    relay: core.Relay, request: requests.Request, endpoint: str
+) -> None:
     """Records that the request's shared parts are sent to an endpoint."""
-    part = _last_part(_work(request))
+    part = _last_shared_part(_prompt_profile(request))
     if part:
-        relay.recent.note(part, endpoint, relay.now())
+        relay.recent_parts.note(part, endpoint, relay.now())
 
 
-def suspect(relay: core.Relay, endpoint: str, reason: str) -> None:
+def mark_suspect(relay: core.Relay, endpoint: str, reason: str) -> None:
     """Makes a failed endpoint a last resort for a limited time."""
-    if relay.suspects.get(endpoint, 0.0) < relay.now():
+    if relay.suspect_until.get(endpoint, 0.0) < relay.now():
         events.record(events.Event.ENDPOINT_SUSPECT, endpoint, reason)
-    relay.suspects[endpoint] = relay.now() + SUSPECT_S
+    relay.suspect_until[endpoint] = relay.now() + SUSPECT_DURATION_S
 
 
-def _candidate(
-    relay: core.Relay, row: directory.Row, now: float, failing: set[str]
+def _make_candidate(
+    relay: core.Relay, row: directory.Row, now: float, outliers: set[str]
 ) -> endpoints.Candidate:
-    name = row.endpoint.id
-    own, others = relay.loads.get(name), relay.others.get(name, (0, 0))
-    running, waiting = own or (0, 0)
-    silent_s = SILENT_HEARTBEATS * relay.options.heartbeat_s
-    doubtful = now - row.heard_at > silent_s or name in failing
+    endpoint_id = row.endpoint.id
+    own_load, other_load = (
+        relay.loads.get(endpoint_id),
+        relay.other_loads.get(endpoint_id, (0, 0)),
+    )
+    running, waiting_tokens = own_load or (0, 0)
+    silent_s = MAX_HEARTBEAT_INTERVALS * relay.options.heartbeat_s
+    doubtful = now - row.heard_at > silent_s or endpoint_id in outliers
     return endpoints.Candidate(
-        id=name,
-        running=running + others[0],
-        waiting_tokens=waiting + others[1],
+        id=endpoint_id,
+        running=running + other_load[0],
+        waiting_tokens=waiting_tokens + other_load[1],
         slots=row.endpoint.slots,
         near=row.endpoint.domain == relay.domain,
-        doubtful=doubtful or relay.suspects.get(name, 0.0) > now,
+        doubtful=doubtful or relay.suspect_until.get(endpoint_id, 0.0) > now,
     )
 
 
-def _work(request: requests.Request) -> endpoints.Work | None:
+def _prompt_profile(request: requests.Request) -> endpoints.Work | None:
     """Returns the prompt of a model request, None for other requests.
 
     The last part is unique to the request, unless it is the only one.
@@ -91,15 +98,19 @@
     if request.prompt is None:
         return None
     parts = request.prompt.parts
-    shared = parts[:-1] or parts
-    return endpoints.Work(request.prompt.tokens_in, shared)
+    shared_parts = parts[:-1] or parts
+    return endpoints.Work(request.prompt.tokens_in, shared_parts)
 
 
-def _last_part(work: endpoints.Work | None) -> str:
-    return work.parts[-1][0] if work is not None and work.parts else ""
+def _last_shared_part(prompt_profile: endpoints.Work | None) -> str:
+    return (
+        prompt_profile.parts[-1][0]
+        if prompt_profile is not None and prompt_profile.parts
+        else ""
+    )
 
 
-def _by_version(
+def _filter_by_version(
     relay: core.Relay, request: requests.Request, rows: list[directory.Row]
 ) -> list[directory.Row]:
     """Filters endpoints by the version that a rollout assigns to a request."""
@@ -113,7 +124,7 @@
         return old
     if state == "completed":
         return new or old
-    drawn = zlib.crc32(request.id.encode()) % PER_MILLE
-    if drawn < share:
+    share_position = zlib.crc32(request.id.encode()) % PER_MILLE
+    if share_position < share:
         return new or old
     return old if old or share < PER_MILLE else new
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -6,7 +6,7 @@
 from _arbutuswalk.relay import attempts
 from _arbutuswalk.relay import core
 from _arbutuswalk.relay import delivery
-from _arbutuswalk.relay import placing
+from _arbutuswalk.relay import placement
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.relay import results
 from _arbutuswalk.streams import replies
@@ -14,7 +14,7 @@
 RETRY_AFTER_S = 0.5
 """Retry-After of a refusal: about the time in which an overloaded or lost
 endpoint is detected, avoided and replaced by another."""
-PROBLEM_TYPE = b"application/problem+json"
+PROBLEM_CONTENT_TYPE = b"application/problem+json"
 
 
 async def relay_request(
@@ -24,16 +24,16 @@
     relay.retry_window(request.upstream).note_request(relay.now())
     tally = results.Tally()
     tried: set[str] = set()
-    fallback: results.Answered | None = None
+    last_answer: results.Answered | None = None
     result: results.Result = results.NotSent(reason="no endpoint is ready")
     endpoint_id = ""
     while True:
-        place = placing.place(relay, request, tried)
-        if place is None and not tried:
-            place = await _await_place(relay, request)
-        if place is None or not _may_arrive(relay, request, tally):
+        chosen = placement.find_placement(relay, request, tried)
+        if chosen is None and not tried:
+            chosen = await _wait_for_placement(relay, request)
+        if chosen is None or not _may_attempt(relay, request, tally):
             break
-        endpoint_id = place.endpoint.id
+        endpoint_id = chosen.endpoint.id
         tried.add(endpoint_id)
         if to_caller.started:
             events.record(
@@ -43,32 +43,38 @@
                 to_caller.last_event,
             )
         attempt = attempts.Attempt(
-            relay=relay, to_caller=to_caller, place=place
+            relay=relay, to_caller=to_caller, chosen=chosen
         )
         result = await attempt.run()
         tally = results.add(tally, result)
         if isinstance(result, results.Answered):
-            fallback = result
+            last_answer = result
         left_s = request.deadline - relay.now()
         if not results.may_try_again(result, request.route, tally, left_s):
             break
     if isinstance(result, results.CallerLeft):
-        _note_left(relay, request, endpoint_id)
+        _record_caller_left(relay, request, endpoint_id)
         return
-    await _conclude(relay, to_caller, result, fallback, tally, endpoint_id)
+    await _send_final_answer(
+        relay, to_caller, result, last_answer, tally, endpoint_id
+    )
 
 
-async def _await_place(
+async def _wait_for_placement(
     relay: core.Relay, request: requests.Request
-) -> placing.Place | None:
+) -> placement.Placement | None:
     """Waits for an endpoint in the first seconds after the process start."""
-    found = await relay.learn(
-        lambda: placing.place(relay, request, set()) is not None
+    is_available = await relay.learn(
+        lambda: placement.find_placement(relay, request, set()) is not None
+    )
+    return (
+        placement.find_placement(relay, request, set())
+        if is_available
+        else None
     )
-    return placing.place(relay, request, set()) if found else None
 
 
-def _may_arrive(
+def _may_attempt(
     relay: core.Relay, request: requests.Request, tally: results.Tally
 ) -> bool:
     """Returns whether the retry budget permits another attempt.
@@ -78,14 +84,14 @@
     if not tally.arrivals:
         return True
     window = relay.retry_window(request.upstream)
-    return window.may_retry(relay.now(), relay.entries)
+    return window.may_retry(relay.now(), relay.entry_count)
 
 
-async def _conclude(
+async def _send_final_answer(
     relay: core.Relay,
     to_caller: delivery.Delivery,
     result: results.Result,
-    fallback: results.Answered | None,
+    last_answer: results.Answered | None,
     tally: results.Tally,
     endpoint_id: str,
 ) -> None:
@@ -93,8 +99,10 @@
     took_ms = round((relay.now() - request.came_at) * 1000)
     route = request.route.name
     if isinstance(result, results.Delivered):
-        first_ms = round((to_caller.first_at - request.came_at) * 1000)
-        _note_answer(relay, request, endpoint_id, 200, tally, took_ms, first_ms)
+        first_ms = round((to_caller.first_event_at - request.came_at) * 1000)
+        _record_answer(
+            relay, request, endpoint_id, 200, tally, took_ms, first_ms
+        )
         return
     if to_caller.started:
         events.record(
@@ -102,15 +110,17 @@
             request.id,
             route,
             endpoint_id,
-            _reason_of(result),
+            _result_reason(result),
             took_ms,
         )
         return
-    if fallback is not None:
-        _note_answer(
-            relay, request, endpoint_id, fallback.status, tally, took_ms
+    if last_answer is not None:
+        _record_answer(
+            relay, request, endpoint_id, last_answer.status, tally, took_ms
+        )
+        await to_caller.send_answer(
+            last_answer.status, last_answer.headers, last_answer.body
         )
-        await to_caller.whole(fallback.status, fallback.headers, fallback.body)
         return
     status = results.final_status(result, tally)
     if status == results.STATUS_UNAVAILABLE:
@@ -118,7 +128,7 @@
             relay,
             to_caller,
             status=status,
-            reason=_reason_of(result),
+            reason=_result_reason(result),
             retry_after_s=RETRY_AFTER_S,
         )
         return
@@ -129,12 +139,12 @@
         request.upstream,
         endpoint_id,
         status,
-        _reason_of(result),
+        _result_reason(result),
         tally.runs,
         took_ms,
     )
     relay.metrics.count("failed", f'status="{status}"')
-    await to_caller.own(*problem(status, _reason_of(result)))
+    await to_caller.send_local_answer(*problem(status, _result_reason(result)))
 
 
 async def refuse(
@@ -153,9 +163,9 @@
         status,
         reason,
         route=request.route.name,
-        held_s=relay.now() - request.came_at,
+        elapsed_s=relay.now() - request.came_at,
     )
-    await to_caller.own(*problem(status, reason, retry_after_s))
+    await to_caller.send_local_answer(*problem(status, reason, retry_after_s))
 
 
 def note_refusal(
@@ -165,7 +175,7 @@
     reason: str,
     *,
     route: str = "",
-    held_s: float = 0.0,
+    elapsed_s: float = 0.0,
 ) -> None:
     """Records a refusal in the log and the metrics."""
     events.record(
@@ -174,7 +184,7 @@
         route,
         status,
         reason,
-        round(held_s * 1000),
+        round(elapsed_s * 1000),
         relay.routes_version,
     )
     relay.metrics.count("refused", f'status="{status}"')
@@ -186,7 +196,7 @@
     """Returns status, headers and body of an error answer by the entry."""
     body = json.dumps({"status": status, "detail": reason}).encode()
     headers = [
-        (b"content-type", PROBLEM_TYPE),
+        (b"content-type", PROBLEM_CONTENT_TYPE),
         (b"content-length", str(len(body)).encode()),
     ]
     if retry_after_s:
@@ -194,13 +204,13 @@
     return status, headers, body
 
 
-def _reason_of(result: results.Result) -> str:
+def _result_reason(result: results.Result) -> str:
     if isinstance(result, results.Answered):
         return f"status {result.status}"
     return getattr(result, "reason", "")
 
 
-def _note_left(
+def _record_caller_left(
     relay: core.Relay, request: requests.Request, endpoint_id: str
 ) -> None:
     took_ms = round((relay.now() - request.came_at) * 1000)
@@ -214,7 +224,7 @@
     )
 
 
-def _note_answer(
+def _record_answer(
     relay: core.Relay,
     request: requests.Request,
     endpoint_id: str,
@@ -229,7 +239,7 @@
     relay.metrics.record(
         "answer", f'route="{request.route.name}"', took_ms / 1000
     )
-    failed = status >= results.FAILURE_STATUS
+    failed = status >= results.MIN_FAILURE_STATUS
     fields = [request.id, request.route.name, request.upstream, endpoint_id]
     if failed:
         reason = "the upstream's own answer"
--- a/src/_arbutuswalk/relay/results.py
+++ b/src/_arbutuswalk/relay/results.py
@@ -12,12 +12,12 @@
 STATUS_UNAVAILABLE = 503
 STATUS_BAD_GATEWAY = 502
 STATUS_TIMEOUT = 504
-FAILURE_STATUS = 500
+MIN_FAILURE_STATUS = 500
 """Lowest status that indicates a failure of the upstream itself."""
 
 MAX_SENDS = 4
 """Attempts per request, including those that did not run it."""
-LEAST_LEFT_S = 0.03
+MIN_TIME_LEFT_S = 0.03
 """Remaining time below which no endpoint can answer: a round trip between
 failure domains and the shortest processing time."""
 
@@ -89,12 +89,12 @@
 
 def add(tally: Tally, result: Result) -> Tally:
     """Returns the tally after one more attempt."""
-    arrived = not isinstance(result, NotSent)
-    ran = arrived and not isinstance(result, NotRun)
+    may_have_arrived = not isinstance(result, NotSent)
+    may_have_run = may_have_arrived and not isinstance(result, NotRun)
     return Tally(
         sends=tally.sends + 1,
-        arrivals=tally.arrivals + arrived,
-        runs=tally.runs + ran,
+        arrivals=tally.arrivals + may_have_arrived,
+        runs=tally.runs + may_have_run,
     )
 
 
@@ -102,19 +102,19 @@
     result: Result, route: routeconfig.Route, tally: Tally, left_s: float
 ) -> bool:
     """Returns whether the request may be sent to another endpoint."""
-    if tally.sends >= MAX_SENDS or left_s < LEAST_LEFT_S:
+    if tally.sends >= MAX_SENDS or left_s < MIN_TIME_LEFT_S:
         return False
     if isinstance(result, NotSent | NotRun):
-        return tally.runs == 0 or _may_repeat(route, tally)
+        return tally.runs == 0 or _may_run_again(route, tally)
     if isinstance(result, Lost):
-        return _may_repeat(route, tally)
+        return _may_run_again(route, tally)
     if isinstance(result, Answered):
-        failed = result.status >= FAILURE_STATUS
-        return failed and _may_repeat(route, tally)
+        failed = result.status >= MIN_FAILURE_STATUS
+        return failed and _may_run_again(route, tally)
     return False
 
 
-def _may_repeat(route: routeconfig.Route, tally: Tally) -> bool:
+def _may_run_again(route: routeconfig.Route, tally: Tally) -> bool:
     return route.repeatable and tally.runs < route.max_attempts
 
 
--- a/src/_arbutuswalk/relay/events.py
+++ b/src/_arbutuswalk/relay/sse.py
@@ -3,7 +3,7 @@
 ID_FIELD = b"id:"
 
 
-def id_of(event: bytes) -> str:
+def parse_id(event: bytes) -> str:
     """Returns the id of an event, or an empty string."""
     for line in event.split(b"\n"):
         if line.startswith(ID_FIELD):
@@ -11,8 +11,8 @@
     return ""
 
 
-def is_after(event_id: str, last: str) -> bool:
+def is_newer(event_id: str, last_id: str) -> bool:
     """Returns whether an event follows the last one sent to the caller."""
-    if not (event_id.isdigit() and last.isdigit()):
+    if not (event_id.isdigit() and last_id.isdigit()):
         return True
-    return int(event_id) > int(last)
+    return int(event_id) > int(last_id)
--- a/src/_arbutuswalk/relay/usage.py
+++ b/src/_arbutuswalk/relay/usage.py
@@ -1,6 +1,6 @@
 """Counts of started requests by window and workspace."""
 
-KEPT_WINDOWS = 8
+REPORTED_WINDOWS = 8
 """Windows included in every report, so that a new leader can sum them up."""
 
 
@@ -10,20 +10,20 @@
     Attributes:
         window_s: Length of a window; windows are numbered from the epoch.
         counts: Count by workspace, by window number.
-        offset_s: Correction added to the wall clock.
+        clock_offset_s: Correction added to the wall clock.
     """
 
     def __init__(self, *, window_s: float):
         self.window_s = window_s
         self.counts: dict[int, dict[str, int]] = {}
-        self.offset_s = 0.0
+        self.clock_offset_s = 0.0
 
-    def count(self, workspace: str, wall: float) -> None:
-        """Counts a request that started at ``wall``."""
-        window = int((wall + self.offset_s) // self.window_s)
+    def count(self, workspace: str, wall_s: float) -> None:
+        """Counts a request that started at ``wall_s``."""
+        window = int((wall_s + self.clock_offset_s) // self.window_s)
         counts = self.counts.get(window)
         if counts is None:
             counts = self.counts[window] = {}
-            for old in sorted(self.counts)[:-KEPT_WINDOWS]:
-                del self.counts[old]
+            for expired_window in sorted(self.counts)[:-REPORTED_WINDOWS]:
+                del self.counts[expired_window]
         counts[workspace] = counts.get(workspace, 0) + 1
--- a/src/_arbutuswalk/relay/watching.py
+++ b/src/_arbutuswalk/relay/watching.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from _arbutuswalk.base import events
+from _arbutuswalk.relay import config_fetch
 from _arbutuswalk.relay import core
-from _arbutuswalk.relay import fetching
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import directory
 from _arbutuswalk.routing import routetable
@@ -22,20 +22,20 @@
 
 WATCH_TIMEOUT_S = 1.2
 """Time-out of a watch: three times as long as control holds it open."""
-PAUSE_S = 0.2
+RETRY_PAUSE_S = 0.2
 """Pause after a failed watch."""
-START_PAUSE_S = 0.05
+STARTUP_RETRY_PAUSE_S = 0.05
 """The same before the first configuration: control may be starting at the same
 time."""
-FORGET_S = 20.0
+ENDPOINT_EXPIRY_S = 20.0
 """Time without an announcement after which an endpoint is removed, the same as
 at control."""
-STRANGER_S = 30.0
+UNLISTED_PROCESS_TIMEOUT_S = 30.0
 """Time without an answer after which a control process that is not a seed is no
 longer watched."""
 
 
-class Feed:
+class ControlFeed:
     """A watched control process.
 
     Attributes:
@@ -76,77 +76,77 @@
         seeds: Link addresses from the settings.
         listens_on: Address that accepts callers' requests.
         feeds: Watched control process by link address.
-        hears_since: Since when at least one control process has been answering
-            without interruption, None while none does.
-        fetching: Task that fetches a new configuration, None before the first.
+        connected_since: Since when at least one control process has been
+            answering without interruption, None while none does.
+        fetch_task: Fetches a new configuration, None before the first.
     """
 
     def __init__(self, *, relay: core.Relay, seeds: list[str], listens_on: str):
         self.relay = relay
         self.seeds = seeds
         self.listens_on = listens_on
-        self.feeds: dict[str, Feed] = {}
-        self.hears_since: float | None = None
-        self.fetching: asyncio.Task | None = None
+        self.feeds: dict[str, ControlFeed] = {}
+        self.connected_since: float | None = None
+        self.fetch_task: asyncio.Task | None = None
 
     def tick(self) -> None:
         """Updates the set of watched processes and expires old state."""
         now = self.relay.now()
         for address in self.seeds:
-            self._follow(address)
+            self._watch_address(address)
         for address, feed in list(self.feeds.items()):
-            lost = now - feed.heard_at > STRANGER_S
-            if lost and address not in self.seeds:
+            timed_out = now - feed.heard_at > UNLISTED_PROCESS_TIMEOUT_S
+            if timed_out and address not in self.seeds:
                 del self.feeds[address]
                 feed.task.cancel()
-                _spawn(feed.link.stop())
-        self._forget_silent(now)
-        guilty = crashes.review(
+                _run_in_background(feed.link.stop())
+        self._expire_endpoints(now)
+        confirmed_suspects = crashes.resolve_suspects(
             self.relay.crashes,
             self.relay.directory,
             now,
             self.relay.options.heartbeat_s,
         )
-        for suspect in guilty:
+        for suspect in confirmed_suspects:
             events.record(
                 events.Event.DEATH_NOTED, suspect.fingerprint, suspect.endpoint
             )
 
-    def _forget_silent(self, now: float) -> None:
+    def _expire_endpoints(self, now: float) -> None:
         """Removes endpoints without announcements, unless control is lost.
 
         Without control, the entry continues with the known endpoints.
         """
         if not any(feed.answered for feed in self.feeds.values()):
-            self.hears_since = None
+            self.connected_since = None
             return
-        if self.hears_since is None:
-            self.hears_since = now
-        if now - self.hears_since > FORGET_S:
-            directory.expire(self.relay.directory, now, FORGET_S)
+        if self.connected_since is None:
+            self.connected_since = now
+        if now - self.connected_since > ENDPOINT_EXPIRY_S:
+            directory.expire(self.relay.directory, now, ENDPOINT_EXPIRY_S)
 
     async def stop(self) -> None:
         """Stops watching."""
-        if self.fetching is not None:
-            self.fetching.cancel()
+        if self.fetch_task is not None:
+            self.fetch_task.cancel()
         for feed in self.feeds.values():
             feed.task.cancel()
         for feed in self.feeds.values():
             await feed.link.stop()
 
-    def _follow(self, address: str) -> None:
+    def _watch_address(self, address: str) -> None:
         if address not in self.feeds:
-            feed = Feed(address=address, now=self.relay.now())
+            feed = ControlFeed(address=address, now=self.relay.now())
             self.feeds[address] = feed
-            feed.task = asyncio.ensure_future(self._run(feed))
+            feed.task = asyncio.ensure_future(self._watch(feed))
 
-    async def _run(self, feed: Feed) -> None:
+    async def _watch(self, feed: ControlFeed) -> None:
         while True:
             reply = await feed.link.call(
-                self._message(feed), timeout_s=WATCH_TIMEOUT_S
+                self._make_watch(feed), timeout_s=WATCH_TIMEOUT_S
             )
             if isinstance(reply, ttypes.WatchReply):
-                self._take(feed, reply)
+                self._apply_reply(feed, reply)
                 continue
             if feed.answered:
                 feed.answered = False
@@ -157,9 +157,11 @@
                 # The connection may be dead while a new one would work.
                 feed.link.close("timed out")
             known = self.relay.table is not None
-            await asyncio.sleep(PAUSE_S if known else START_PAUSE_S)
+            await asyncio.sleep(
+                RETRY_PAUSE_S if known else STARTUP_RETRY_PAUSE_S
+            )
 
-    def _message(self, feed: Feed) -> ttypes.Watch:
+    def _make_watch(self, feed: ControlFeed) -> ttypes.Watch:
         report = self._report()
         feed.reported_taken = report["taken"]
         feed.reported_loads = dict(report["loads"])
@@ -192,12 +194,18 @@
                 name: bucket.taken for name, bucket in relay.buckets.items()
             },
             "outcomes": [
-                [*key, o.ran, o.failed, o.timed, o.slow]
-                for key, o in relay.outcomes.items()
+                [
+                    *key,
+                    outcomes.ran,
+                    outcomes.failed,
+                    outcomes.timed,
+                    outcomes.slow,
+                ]
+                for key, outcomes in relay.outcomes.items()
             ],
         }
 
-    def _take(self, feed: Feed, reply: ttypes.WatchReply) -> None:
+    def _apply_reply(self, feed: ControlFeed, reply: ttypes.WatchReply) -> None:
         now = self.relay.now()
         news = packed.unpack(reply.news)
         if not feed.answered:
@@ -210,47 +218,51 @@
         feed.term = news["term"]
         feed.wall_offset = news["wall"] - self.relay.wall()
         for fields in news["endpoints"]:
-            said = directory.from_json(fields)
-            directory.announce(self.relay.directory, said, now)
+            announcement = directory.from_json(fields)
+            directory.announce(self.relay.directory, announcement, now)
         for address in news["members"]:
-            self._follow(address)
+            self._watch_address(address)
         feed.routes_version = news["routes_version"]
-        self._follow_routes(feed)
-        self._take_rollouts(news["rollouts"])
-        self._take_loads(feed, news["loads"])
-        self._take_quotas(feed, news["taken"])
-        self.relay.entries = max(1, news["entries"])
-        self.relay.silent = news["silent"]
-        self.relay.refused = frozenset(news["refused"])
-        self._agree_on_time()
+        self._fetch_newer_routes(feed)
+        self._merge_rollouts(news["rollouts"])
+        self._update_other_loads(feed, news["loads"])
+        self._record_quota_use(feed, news["taken"])
+        self.relay.entry_count = max(1, news["entries"])
+        self.relay.unreachable_entries = news["silent"]
+        self.relay.refused_fingerprints = frozenset(news["refused"])
+        self._correct_clock()
         self.relay.tell()
 
-    def _follow_routes(self, feed: Feed) -> None:
+    def _fetch_newer_routes(self, feed: ControlFeed) -> None:
         """Starts fetching a configuration newer than the one in use."""
-        idle = self.fetching is None or self.fetching.done()
-        if idle and feed.routes_version > self.relay.routes_version:
-            self.fetching = asyncio.ensure_future(
-                fetching.fetch(
+        is_idle = self.fetch_task is None or self.fetch_task.done()
+        if is_idle and feed.routes_version > self.relay.routes_version:
+            self.fetch_task = asyncio.ensure_future(
+                config_fetch.fetch(
                     lambda: list(self.feeds.values()),
                     lambda: self.relay.routes_version,
-                    self._serve_routes,
+                    self._apply_fetched_routes,
                 )
             )
 
-    def _serve_routes(self, values: dict[str, Any], source: str) -> None:
-        take_routes(self.relay, values, source)
+    def _apply_fetched_routes(
+        self, values: dict[str, Any], source: str
+    ) -> None:
+        apply_routes(self.relay, values, source)
         self.relay.tell()
 
-    def _take_rollouts(self, rollouts: dict[str, list]) -> None:
+    def _merge_rollouts(self, rollouts: dict[str, list]) -> None:
         """Keeps the newest step of each rollout, from any control process."""
         for upstream, row in rollouts.items():
             known = self.relay.rollouts.get(upstream)
-            if known is None or _rollout_age(row) > _rollout_age(known):
+            if known is None or _rollout_order(row) > _rollout_order(known):
                 self.relay.rollouts[upstream] = row
 
-    def _take_loads(self, feed: Feed, loads: dict[str, list[int]]) -> None:
+    def _update_other_loads(
+        self, feed: ControlFeed, loads: dict[str, list[int]]
+    ) -> None:
         """Sets other entries' loads: the totals minus our own share."""
-        self.relay.others = {
+        self.relay.other_loads = {
             name: core.Load(
                 max(0, running - own.running),
                 max(0, tokens - own.waiting_tokens),
@@ -259,24 +271,28 @@
             for own in [feed.reported_loads.get(name, core.Load())]
         }
 
-    def _take_quotas(self, feed: Feed, taken: dict[str, float]) -> None:
+    def _record_quota_use(
+        self, feed: ControlFeed, taken: dict[str, float]
+    ) -> None:
         """Records other entries' quota use: the totals minus our own share."""
         now = self.relay.now()
         for name, bucket in self.relay.buckets.items():
             own = feed.reported_taken.get(name, 0.0)
             bucket.hear(taken.get(name, 0.0) - own, now)
 
-    def _agree_on_time(self) -> None:
+    def _correct_clock(self) -> None:
         """Corrects a clock step by the median offset of all clocks."""
         offsets = [
             feed.wall_offset
             for feed in self.feeds.values()
             if feed.wall_offset is not None
         ]
-        self.relay.usage.offset_s = statistics.median([0.0, *offsets])
+        self.relay.usage.clock_offset_s = statistics.median([0.0, *offsets])
 
 
-def take_routes(relay: core.Relay, values: dict[str, Any], source: str) -> None:
+def apply_routes(
+    relay: core.Relay, values: dict[str, Any], source: str
+) -> None:
     """Puts a route configuration into use if it is newer than the current."""
     config = routeconfig.from_json(values)
     before = relay.routes_version
@@ -286,16 +302,16 @@
     events.record(events.Event.ROUTES_IN_FORCE, config.version, before, source)
 
 
-def _rollout_age(row: list) -> tuple[int, int]:
+def _rollout_order(row: list) -> tuple[int, int]:
     started_ms, step = row[4], row[3]
     return started_ms, step
 
 
-_tasks: set[asyncio.Task] = set()
+_background_tasks: set[asyncio.Task] = set()
 
 
-def _spawn(coroutine: Awaitable[None]) -> None:
+def _run_in_background(coroutine: Awaitable[None]) -> None:
     """Runs a coroutine, keeping a reference to its task until it is done."""
     task = asyncio.ensure_future(coroutine)
-    _tasks.add(task)
-    task.add_done_callback(_tasks.discard)
+    _background_tasks.add(task)
+    task.add_done_callback(_background_tasks.discard)
--- a/src/_arbutuswalk/routing/announcements.py
+++ b/src/_arbutuswalk/routing/announcements.py
@@ -58,28 +58,28 @@
     problems: tuple[str, ...]
 
 
-def _is_texts(value: object) -> bool:
+def _is_text_list(value: object) -> bool:
     return isinstance(value, list) and all(settings.is_text(v) for v in value)
 
 
-_NAME = "a name"
-_NATURAL = "a whole number of at least 0"
+_EXPECTED_NAME = "a name"
+_EXPECTED_NATURAL = "a whole number of at least 0"
 _FIELDS = (
-    settings.Field("id", _NAME, settings.is_text),
-    settings.Field("incarnation", _NATURAL, settings.is_natural),
-    settings.Field("sequence", _NATURAL, settings.is_natural),
+    settings.Field("id", _EXPECTED_NAME, settings.is_text),
+    settings.Field("incarnation", _EXPECTED_NATURAL, settings.is_natural),
+    settings.Field("sequence", _EXPECTED_NATURAL, settings.is_natural),
     settings.Field("address", "IP:port", settings.is_address),
-    settings.Field("upstream", _NAME, settings.is_text),
-    settings.Field("version", _NAME, settings.is_text),
-    settings.Field("instance", _NAME, settings.is_text),
-    settings.Field("domain", _NAME, settings.is_text),
-    settings.Field("instance_class", _NAME, settings.is_text),
-    settings.Field("role", _NAME, settings.is_text, "mixed"),
-    settings.Field("adapters", "a list of names", _is_texts, []),
-    settings.Field("slots", _NATURAL, settings.is_natural),
-    settings.Field("running", _NATURAL, settings.is_natural, 0),
-    settings.Field("cache_tokens", _NATURAL, settings.is_natural, 0),
-    settings.Field("fence", _NATURAL, settings.is_natural, 0),
+    settings.Field("upstream", _EXPECTED_NAME, settings.is_text),
+    settings.Field("version", _EXPECTED_NAME, settings.is_text),
+    settings.Field("instance", _EXPECTED_NAME, settings.is_text),
+    settings.Field("domain", _EXPECTED_NAME, settings.is_text),
+    settings.Field("instance_class", _EXPECTED_NAME, settings.is_text),
+    settings.Field("role", _EXPECTED_NAME, settings.is_text, "mixed"),
+    settings.Field("adapters", "a list of names", _is_text_list, []),
+    settings.Field("slots", _EXPECTED_NATURAL, settings.is_natural),
+    settings.Field("running", _EXPECTED_NATURAL, settings.is_natural, 0),
+    settings.Field("cache_tokens", _EXPECTED_NATURAL, settings.is_natural, 0),
+    settings.Field("fence", _EXPECTED_NATURAL, settings.is_natural, 0),
     settings.Field("leaving", "true or false", settings.is_flag, False),
     settings.Field("leave_in_s", "seconds", settings.is_not_negative, 0.0),
     settings.Field("echo", "true or false", settings.is_flag, True),
--- a/src/_arbutuswalk/routing/choose.py
+++ b/src/_arbutuswalk/routing/choose.py
@@ -12,7 +12,7 @@
 from _arbutuswalk.routing import prefixes
 from _arbutuswalk.routing import upstreams
 
-BOUND = 1.7
+LOAD_BOUND_FACTOR = 1.7
 """Ratio of an upstream's load to the mean above which load outweighs cache
 affinity, as in consistent hashing with bounded loads."""
 
@@ -74,48 +74,58 @@
         weights: Weights of the cost terms.
         avoid: Keys of upstreams to use only if no other has a free slot.
     """
-    free = [row for row in rows if row.load < row.said["slots"]]
-    preferred = [row for row in free if row.key not in avoid]
-    candidates = preferred or free
+    with_free_slot = [row for row in rows if row.load < row.said["slots"]]
+    preferred = [row for row in with_free_slot if row.key not in avoid]
+    candidates = preferred or with_free_slot
     if not candidates:
         return None
     if len(candidates) == 1:
         return candidates[0]
-    mean = sum(row.load for row in candidates) / len(candidates)
-    cheapest = min((row.price for row in candidates if row.price), default=0)
-
-    def rank(row: upstreams.Row) -> tuple[float, bytes]:
-        total = (
-            _crowding(row, mean, weights)
-            + _prefill(row, features, weights)
-            + _price(row, cheapest, weights)
+    mean_load = sum(row.load for row in candidates) / len(candidates)
+    lowest_price = min(
+        (row.price for row in candidates if row.price), default=0
+    )
+
+    def cost(row: upstreams.Row) -> tuple[float, bytes]:
+        cost_s = (
+            _batch_delay_s(row, mean_load, weights)
+            + _prefill_s(row, features, weights)
+            + _price_penalty_s(row, lowest_price, weights)
         )
-        return round(total, 3), _rendezvous(features.affinity, row)
+        return round(cost_s, 3), _rendezvous_hash(features.affinity, row)
 
-    return min(candidates, key=rank)
+    return min(candidates, key=cost)
 
 
-def _crowding(row: upstreams.Row, mean: float, weights: Weights) -> float:
+def _batch_delay_s(
+    row: upstreams.Row, mean_load: float, weights: Weights
+) -> float:
     """Returns the delay by the batch in seconds, constant up to the bound."""
     slots = max(1, row.said["slots"])
-    over = row.load + 1 - BOUND * (mean + 1)
-    if over <= 0:
-        return weights.crowd_s * mean / slots
-    return weights.crowd_s * (mean + over * 4) / slots
-
-
-def _prefill(row: upstreams.Row, features: Features, weights: Weights) -> float:
-    held = row.index.match(features.blocks) * prefixes.BLOCK_TOKENS
-    uncached = max(0.0, features.prompt_tokens - held * row.index.trust)
-    return uncached / weights.prefill_tokens_per_s
-
-
-def _price(row: upstreams.Row, cheapest: int, weights: Weights) -> float:
-    if not cheapest or not row.price:
+    excess_load = row.load + 1 - LOAD_BOUND_FACTOR * (mean_load + 1)
+    if excess_load <= 0:
+        return weights.crowd_s * mean_load / slots
+    return weights.crowd_s * (mean_load + excess_load * 4) / slots
+
+
+def _prefill_s(
+    row: upstreams.Row, features: Features, weights: Weights
+) -> float:
+    cached_tokens = row.index.match(features.blocks) * prefixes.BLOCK_TOKENS
+    uncached_tokens = max(
+        0.0, features.prompt_tokens - cached_tokens * row.index.trust
+    )
+    return uncached_tokens / weights.prefill_tokens_per_s
+
+
+def _price_penalty_s(
+    row: upstreams.Row, lowest_price: int, weights: Weights
+) -> float:
+    if not lowest_price or not row.price:
         return 0.0
-    return weights.price_s * (row.price / cheapest - 1)
+    return weights.price_s * (row.price / lowest_price - 1)
 
 
-def _rendezvous(affinity: str, row: upstreams.Row) -> bytes:
+def _rendezvous_hash(affinity: str, row: upstreams.Row) -> bytes:
     text = f"{affinity}|{row.said['id']}"
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/src/_arbutuswalk/routing/crashes.py
+++ b/src/_arbutuswalk/routing/crashes.py
@@ -12,12 +12,12 @@
 
 from _arbutuswalk.routing import directory
 
-CONFIRM_HEARTBEATS = 1.5
+DEATH_CONFIRMATION_HEARTBEATS = 1.5
 """Heartbeat intervals without a heartbeat after a lost connection that confirm
 an endpoint's death."""
-KEPT_S = 60.0
+DEATH_RETENTION_S = 60.0
 """Time for which a death counts against a request."""
-DEATHS = 3
+DEATHS_TO_REFUSE = 3
 """Deaths at which a request is refused. When several endpoints die together, a
 request that did not cause it can be involved in one or two deaths."""
 
@@ -29,16 +29,16 @@
         fingerprint: Fingerprint of the request.
         endpoint: Id of the endpoint.
         born_ms: Start time of the endpoint, in Unix milliseconds.
-        at: When the connection was lost, in seconds.
+        lost_at: When the connection was lost, in seconds.
     """
 
     fingerprint: str
     endpoint: str
     born_ms: int
-    at: float
+    lost_at: float
 
 
-class Crashes:
+class CrashTracker:
     """Suspects and confirmed deaths known to one entry.
 
     Attributes:
@@ -58,18 +58,21 @@
     return digest.hexdigest()
 
 
-def note_lost(
-    crashes: Crashes, request: str, endpoint: directory.Endpoint, now: float
+def record_lost_connection(
+    crashes: CrashTracker,
+    request_fingerprint: str,
+    endpoint: directory.Endpoint,
+    now: float,
 ) -> None:
     """Records that a request lost its connection to an endpoint."""
     crashes.suspects.append(
-        Suspect(request, endpoint.id, endpoint.born_ms, now)
+        Suspect(request_fingerprint, endpoint.id, endpoint.born_ms, now)
     )
 
 
-def review(
-    crashes: Crashes,
-    found: directory.Directory,
+def resolve_suspects(
+    crashes: CrashTracker,
+    endpoint_directory: directory.Directory,
     now: float,
     heartbeat_s: float,
 ) -> list[Suspect]:
@@ -78,45 +81,51 @@
     Returns:
         Suspects whose endpoints have died.
     """
-    confirm_s = CONFIRM_HEARTBEATS * heartbeat_s
-    guilty = []
-    waiting = []
+    confirmation_s = DEATH_CONFIRMATION_HEARTBEATS * heartbeat_s
+    confirmed = []
+    undecided = []
     for suspect in crashes.suspects:
-        if now - suspect.at < confirm_s:
-            waiting.append(suspect)
-        elif _has_died(suspect, found):
-            guilty.append(suspect)
-            start = f"{suspect.endpoint}/{suspect.born_ms}"
-            known = crashes.deaths.setdefault(suspect.fingerprint, {})
-            known[start] = suspect.at
-    crashes.suspects = waiting
-    _forget(crashes, now)
-    return guilty
+        if now - suspect.lost_at < confirmation_s:
+            undecided.append(suspect)
+        elif _is_dead(suspect, endpoint_directory):
+            confirmed.append(suspect)
+            endpoint_start = f"{suspect.endpoint}/{suspect.born_ms}"
+            death_times = crashes.deaths.setdefault(suspect.fingerprint, {})
+            death_times[endpoint_start] = suspect.lost_at
+    crashes.suspects = undecided
+    _expire_deaths(crashes, now)
+    return confirmed
 
 
 def add_up(reports: list[dict[str, list[str]]]) -> list[str]:
     """Returns the fingerprints to refuse, given all entries' deaths."""
     starts: dict[str, set[str]] = {}
     for report in reports:
-        for request, known in report.items():
-            starts.setdefault(request, set()).update(known)
-    return sorted(r for r, known in starts.items() if len(known) >= DEATHS)
+        for request_fingerprint, endpoint_starts in report.items():
+            starts.setdefault(request_fingerprint, set()).update(
+                endpoint_starts
+            )
+    return sorted(
+        request_fingerprint
+        for request_fingerprint, endpoint_starts in starts.items()
+        if len(endpoint_starts) >= DEATHS_TO_REFUSE
+    )
 
 
-def _has_died(suspect: Suspect, found: directory.Directory) -> bool:
-    row = found.rows.get(suspect.endpoint)
+def _is_dead(suspect: Suspect, endpoint_directory: directory.Directory) -> bool:
+    row = endpoint_directory.rows.get(suspect.endpoint)
     if row is None or row.endpoint.born_ms != suspect.born_ms:
         return True
     if row.endpoint.state != directory.READY:
         # The connection was closed by an orderly shutdown.
         return False
-    return row.heard_at < suspect.at
+    return row.heard_at < suspect.lost_at
 
 
-def _forget(crashes: Crashes, now: float) -> None:
-    for request, known in list(crashes.deaths.items()):
-        for start, at in list(known.items()):
-            if now - at > KEPT_S:
-                del known[start]
-        if not known:
-            del crashes.deaths[request]
+def _expire_deaths(crashes: CrashTracker, now: float) -> None:
+    for request_fingerprint, death_times in list(crashes.deaths.items()):
+        for endpoint_start, lost_at in list(death_times.items()):
+            if now - lost_at > DEATH_RETENTION_S:
+                del death_times[endpoint_start]
+        if not death_times:
+            del crashes.deaths[request_fingerprint]
--- a/src/_arbutuswalk/routing/directory.py
+++ b/src/_arbutuswalk/routing/directory.py
@@ -66,69 +66,79 @@
 
     Attributes:
         rows: Row by endpoint id.
-        holders: Endpoint id by address.
+        ids_by_address: Endpoint id by address.
         revision: Number of updates so far.
     """
 
     def __init__(self):
         self.rows: dict[str, Row] = {}
-        self.holders: dict[str, str] = {}
+        self.ids_by_address: dict[str, str] = {}
         self.revision = 0
 
 
-def announce(directory: Directory, said: Endpoint, now: float) -> bool:
+def announce(directory: Directory, announcement: Endpoint, now: float) -> bool:
     """Merges one announcement.
 
     Returns:
         Whether it changed anything relevant to routing. A higher sequence
         alone only shows that the endpoint is alive.
     """
-    known = directory.rows.get(said.id)
-    merged = said if known is None else _merge(known.endpoint, said)
+    existing = directory.rows.get(announcement.id)
+    merged = (
+        announcement
+        if existing is None
+        else _merge_announcements(existing.endpoint, announcement)
+    )
     if merged is None:
         return False
-    holder = directory.rows.get(directory.holders.get(merged.address, ""))
-    if holder is not None and holder.endpoint.id != merged.id:
-        if holder.endpoint.born_ms > merged.born_ms:
+    address_owner = directory.rows.get(
+        directory.ids_by_address.get(merged.address, "")
+    )
+    if address_owner is not None and address_owner.endpoint.id != merged.id:
+        if address_owner.endpoint.born_ms > merged.born_ms:
             return False
-        _put(directory, holder.endpoint._replace(state=GONE), holder.heard_at)
-    _put(directory, merged, now)
-    directory.holders[merged.address] = merged.id
-    return known is None or _differs(known.endpoint, merged)
+        _put_row(
+            directory,
+            address_owner.endpoint._replace(state=GONE),
+            address_owner.heard_at,
+        )
+    _put_row(directory, merged, now)
+    directory.ids_by_address[merged.address] = merged.id
+    return existing is None or _is_relevant_change(existing.endpoint, merged)
 
 
 def leave(
     directory: Directory, endpoint_id: str, born_ms: int | None, now: float
 ) -> bool:
     """Marks an endpoint as gone; returns whether that changed its state."""
-    known = directory.rows.get(endpoint_id)
-    if known is None:
+    existing = directory.rows.get(endpoint_id)
+    if existing is None:
         return False
-    if born_ms is not None and born_ms < known.endpoint.born_ms:
+    if born_ms is not None and born_ms < existing.endpoint.born_ms:
         return False
-    if known.endpoint.state == GONE:
+    if existing.endpoint.state == GONE:
         return False
-    _put(directory, known.endpoint._replace(state=GONE), now)
+    _put_row(directory, existing.endpoint._replace(state=GONE), now)
     return True
 
 
 def expire(directory: Directory, now: float, silent_s: float) -> list[str]:
     """Removes rows not updated for ``silent_s`` seconds; returns their ids."""
-    old = [
-        name
-        for name, row in directory.rows.items()
+    expired_ids = [
+        endpoint_id
+        for endpoint_id, row in directory.rows.items()
         if now - row.heard_at > silent_s
     ]
-    for name in old:
-        forget(directory, name)
-    return old
+    for endpoint_id in expired_ids:
+        forget(directory, endpoint_id)
+    return expired_ids
 
 
-def forget(directory: Directory, name: str) -> None:
+def forget(directory: Directory, endpoint_id: str) -> None:
     """Removes the row of one endpoint id."""
-    row = directory.rows.pop(name)
-    if directory.holders.get(row.endpoint.address) == name:
-        del directory.holders[row.endpoint.address]
+    row = directory.rows.pop(endpoint_id)
+    if directory.ids_by_address.get(row.endpoint.address) == endpoint_id:
+        del directory.ids_by_address[row.endpoint.address]
 
 
 def since(directory: Directory, revision: int) -> list[Endpoint]:
@@ -150,29 +160,35 @@
     return Endpoint(*fields)
 
 
-def _merge(known: Endpoint, said: Endpoint) -> Endpoint | None:
+def _merge_announcements(
+    existing: Endpoint, announcement: Endpoint
+) -> Endpoint | None:
     """Merges two announcements; returns None if nothing changes."""
-    if said.born_ms != known.born_ms:
-        return said if said.born_ms > known.born_ms else None
-    state = max(known.state, said.state, key=(READY, LEAVING, GONE).index)
-    if said.sequence > known.sequence:
-        return said._replace(state=state)
-    if state != known.state:
-        return known._replace(state=state)
+    if announcement.born_ms != existing.born_ms:
+        return announcement if announcement.born_ms > existing.born_ms else None
+    state = max(
+        existing.state, announcement.state, key=(READY, LEAVING, GONE).index
+    )
+    if announcement.sequence > existing.sequence:
+        return announcement._replace(state=state)
+    if state != existing.state:
+        return existing._replace(state=state)
     return None
 
 
-def _differs(before: Endpoint, after: Endpoint) -> bool:
+def _is_relevant_change(before: Endpoint, after: Endpoint) -> bool:
     return before._replace(sequence=0, cold_s=0.0) != after._replace(
         sequence=0, cold_s=0.0
     )
 
 
-def _put(directory: Directory, endpoint: Endpoint, now: float) -> None:
+def _put_row(directory: Directory, endpoint: Endpoint, now: float) -> None:
     directory.revision += 1
     revision = directory.revision
-    known = directory.rows.get(endpoint.id)
-    news = known is None or _differs(known.endpoint, endpoint)
-    news_revision = revision if news else known.news_revision
+    existing = directory.rows.get(endpoint.id)
+    changed = existing is None or _is_relevant_change(
+        existing.endpoint, endpoint
+    )
+    news_revision = revision if changed else existing.news_revision
     row = Row(endpoint, now, revision, news_revision)
     directory.rows[endpoint.id] = row
--- a/src/_arbutuswalk/routing/endpoints.py
+++ b/src/_arbutuswalk/routing/endpoints.py
@@ -13,16 +13,16 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-RANKED = 3
+RANKED_CANDIDATES = 3
 """Highest-ranked endpoints considered for a model request: enough to avoid an
 overloaded one, few enough that shared parts occupy few caches."""
-DRAWN = 2
+RANDOM_CANDIDATES = 2
 """Further endpoints considered, sampled at random, so that entries which see
 the same idle endpoint do not all choose it at once."""
-RUNNING_TOKENS = 150
+RUNNING_REQUEST_DELAY_TOKENS = 150
 """Delay of the first event by one more running request, as the number of prompt
 tokens read in that time: each batch step takes about a fiftieth longer."""
-FAR_REQUESTS = 0.5
+REMOTE_DOMAIN_LOAD_REQUESTS = 0.5
 """Extra load assumed for an endpoint in another failure domain."""
 
 
@@ -70,7 +70,7 @@
 def choose(
     candidates: Sequence[Candidate],
     work: Work | None,
-    sent_to: Collection[str],
+    recent_holders: Collection[str],
     draws: tuple[float, float],
 ) -> Choice | None:
     """Returns the endpoint to send to, or None without candidates.
@@ -78,67 +78,87 @@
     Args:
         candidates: Endpoints eligible for the request.
         work: Prompt of a model request, None for other requests.
-        sent_to: Endpoints that recently received the last shared part.
+        recent_holders: Endpoints that recently received the last shared part.
         draws: Random numbers in [0, 1).
     """
-    trusted = [each for each in candidates if not each.doubtful]
-    usable = trusted or list(candidates)
+    healthy = [candidate for candidate in candidates if not candidate.doubtful]
+    usable = healthy or list(candidates)
     if not usable:
         return None
     if work is None:
         return Choice(_least_loaded(usable, draws[0]).id, 0)
-    return _soonest(usable, work, sent_to, draws)
+    return _shortest_delay(usable, work, recent_holders, draws)
 
 
 def _least_loaded(usable: list[Candidate], draw: float) -> Candidate:
-    def wait(each: Candidate) -> float:
-        far = 0.0 if each.near else FAR_REQUESTS
-        return (each.running + far) / max(1, each.slots)
-
-    best = min(map(wait, usable))
-    ties = [each for each in usable if wait(each) <= best + 1e-9]
-    return ties[int(draw * len(ties))]
+    def load_per_slot(candidate: Candidate) -> float:
+        remote_load = 0.0 if candidate.near else REMOTE_DOMAIN_LOAD_REQUESTS
+        return (candidate.running + remote_load) / max(1, candidate.slots)
+
+    lowest_load = min(map(load_per_slot, usable))
+    least_loaded = [
+        candidate
+        for candidate in usable
+        if load_per_slot(candidate) <= lowest_load + 1e-9
+    ]
+    return least_loaded[int(draw * len(least_loaded))]
 
 
-def _soonest(
+def _shortest_delay(
     usable: list[Candidate],
     work: Work,
-    sent_to: Collection[str],
+    recent_holders: Collection[str],
     draws: tuple[float, float],
 ) -> Choice:
-    affinity = work.parts[-1][0] if work.parts else ""
-    ranked = sorted(usable, key=lambda each: _rank(affinity, each.id))
-    if not affinity:
+    affinity_key = work.parts[-1][0] if work.parts else ""
+    ranked = sorted(
+        usable,
+        key=lambda candidate: _rendezvous_hash(affinity_key, candidate.id),
+    )
+    if not affinity_key:
         ranked = usable
-    others = ranked[RANKED:]
-    drawn = {int(draw * len(others)) for draw in draws[:DRAWN] if others}
-    considered = [*ranked[:RANKED], *(others[index] for index in drawn)]
-    choices = [
-        (_delay(each, tokens), place, Choice(each.id, tokens))
-        for place, each in enumerate(considered)
-        for tokens in [_unread(work, place, each.id in sent_to)]
+    lower_ranked = ranked[RANKED_CANDIDATES:]
+    sampled = {
+        int(draw * len(lower_ranked))
+        for draw in draws[:RANDOM_CANDIDATES]
+        if lower_ranked
+    }
+    considered = [
+        *ranked[:RANKED_CANDIDATES],
+        *(lower_ranked[sampled_index] for sampled_index in sampled),
+    ]
+    ranked_choices = [
+        (_delay_tokens(candidate, tokens), rank, Choice(candidate.id, tokens))
+        for rank, candidate in enumerate(considered)
+        for tokens in [
+            _uncached_tokens(work, rank, candidate.id in recent_holders)
+        ]
     ]
-    return min(choices)[2]
+    return min(ranked_choices)[2]
 
 
-def _delay(each: Candidate, tokens: int) -> int:
+def _delay_tokens(candidate: Candidate, tokens: int) -> int:
     """Returns the expected time to read the prompt, in prompt tokens."""
-    crowd = max(0, each.running - each.slots) * RUNNING_TOKENS * 4
-    running = each.running * RUNNING_TOKENS
-    return each.waiting_tokens + tokens + running + crowd
+    queued_tokens = (
+        max(0, candidate.running - candidate.slots)
+        * RUNNING_REQUEST_DELAY_TOKENS
+        * 4
+    )
+    running_tokens = candidate.running * RUNNING_REQUEST_DELAY_TOKENS
+    return candidate.waiting_tokens + tokens + running_tokens + queued_tokens
 
 
-def _unread(work: Work, place: int, was_sent: bool) -> int:
+def _uncached_tokens(work: Work, rank: int, recently_sent: bool) -> int:
     """Returns the number of prompt tokens that are probably not cached.
 
     The last shared part is assumed to be cached at the highest-ranked endpoint
     and at those that recently received it; more widely shared parts are assumed
     to be cached at every endpoint.
     """
-    parts = work.parts if place == 0 or was_sent else work.parts[:-1]
+    parts = work.parts if rank == 0 or recently_sent else work.parts[:-1]
     return max(0, work.tokens - sum(tokens for _, tokens in parts))
 
 
-def _rank(affinity: str, endpoint: str) -> bytes:
-    text = f"{affinity}|{endpoint}".encode()
-    return hashlib.blake2b(text, digest_size=8).digest()
+def _rendezvous_hash(affinity_key: str, endpoint: str) -> bytes:
+    hash_input = f"{affinity_key}|{endpoint}".encode()
+    return hashlib.blake2b(hash_input, digest_size=8).digest()
--- a/src/_arbutuswalk/routing/evidence.py
+++ b/src/_arbutuswalk/routing/evidence.py
@@ -3,12 +3,12 @@
 import collections
 from typing import NamedTuple
 
-SLOW_FACTOR = 2.0
-MIN_BASELINE = 20
-BASELINE_KEPT = 200
-CUT_ERRORS = 3
-CUT_WINDOW = 10
-CUT_FACTOR = 2.0
+SLOW_LATENCY_FACTOR = 2.0
+MIN_BASELINE_SAMPLES = 20
+MAX_LATENCY_SAMPLES = 200
+CUT_OFF_MIN_ERRORS = 3
+CUT_OFF_WINDOW_REQUESTS = 10
+CUT_OFF_ERROR_RATE_FACTOR = 2.0
 """Multiple of the old version's recent error rate above which a new version is
 cut off."""
 
@@ -38,7 +38,7 @@
         self.timed = 0
         self.slow = 0
         self.recent: collections.deque[bool] = collections.deque(
-            maxlen=CUT_WINDOW
+            maxlen=CUT_OFF_WINDOW_REQUESTS
         )
 
 
@@ -56,7 +56,7 @@
         self.latencies: dict[Side, collections.deque[float]] = {}
         self.cut: set[Side] = set()
 
-    def counts_of(self, side: Side) -> Counts:
+    def counts_for(self, side: Side) -> Counts:
         """Returns the outcome counts of a key, creating them if needed."""
         return self.counts.setdefault(side, Counts())
 
@@ -78,34 +78,36 @@
             baseline: Key to compare errors and latencies with.
             on_trial: Whether this is the new version of a move.
         """
-        counts = self.counts_of(side)
+        counts = self.counts_for(side)
         counts.ran += 1
         counts.errors += failed
         counts.recent.append(failed)
         if not failed:
-            self._compare(counts, baseline or side, latency_s)
-            kept = self.latencies.setdefault(
-                side, collections.deque(maxlen=BASELINE_KEPT)
+            self._compare_latency(counts, baseline or side, latency_s)
+            samples = self.latencies.setdefault(
+                side, collections.deque(maxlen=MAX_LATENCY_SAMPLES)
             )
-            kept.append(latency_s)
-        if on_trial and self._should_cut(counts, baseline):
-            fresh = side not in self.cut
+            samples.append(latency_s)
+        if on_trial and self._should_cut_off(counts, baseline):
+            is_new = side not in self.cut
             self.cut.add(side)
-            return fresh
+            return is_new
         return False
 
-    def _should_cut(self, counts: Counts, baseline: Side | None) -> bool:
+    def _should_cut_off(self, counts: Counts, baseline: Side | None) -> bool:
         """Returns whether the error rate is well above the old version's."""
         errors = sum(counts.recent)
-        if errors < CUT_ERRORS:
+        if errors < CUT_OFF_MIN_ERRORS:
             return False
-        old = self.counts.get(baseline)
-        if old is None or not old.recent:
+        baseline_counts = self.counts.get(baseline)
+        if baseline_counts is None or not baseline_counts.recent:
             return True
-        own_rate = errors / len(counts.recent)
-        return own_rate > CUT_FACTOR * sum(old.recent) / len(old.recent)
+        error_rate = errors / len(counts.recent)
+        return error_rate > CUT_OFF_ERROR_RATE_FACTOR * sum(
+            baseline_counts.recent
+        ) / len(baseline_counts.recent)
 
-    def _compare(
+    def _compare_latency(
         self, counts: Counts, baseline: Side, latency_s: float
     ) -> None:
         """Counts a latency if there are enough samples to compare it with.
@@ -113,12 +115,12 @@
         A latency that cannot be compared must not count as fast: most of these
         belong to the old version, which would then look better than it is.
         """
-        known = self.latencies.get(baseline, ())
-        if len(known) < MIN_BASELINE:
+        samples = self.latencies.get(baseline, ())
+        if len(samples) < MIN_BASELINE_SAMPLES:
             return
-        usual = sorted(known)[int(len(known) * 0.9)]
+        baseline_p90_s = sorted(samples)[int(len(samples) * 0.9)]
         counts.timed += 1
-        counts.slow += latency_s > SLOW_FACTOR * usual
+        counts.slow += latency_s > SLOW_LATENCY_FACTOR * baseline_p90_s
 
     def report(self) -> dict[str, list[int]]:
         """Returns outcome counts by key, for the control group."""
--- a/src/_arbutuswalk/routing/health.py
+++ b/src/_arbutuswalk/routing/health.py
@@ -9,50 +9,57 @@
 import math
 from typing import NamedTuple
 
-WEIGHT = 0.12
+OUTCOME_WEIGHT = 0.12
 """Weight of a new outcome in the moving average, which so covers about eight
 requests."""
-FADE_S = 4.0
+DECAY_TIME_S = 4.0
 """Time in which a failure rate decays to about a third. An endpoint without
 requests is tried again after about twice that time."""
-EXCESS = 0.25
+OUTLIER_EXCESS_RATE = 0.25
 """Failure rate above that of the best endpoint from which an endpoint is an
 outlier. Partial (grey) failures affect two fifths of the requests, an
 upstream's regular failures up to a seventh."""
 
 
-class Score(NamedTuple):
+class FailureRate(NamedTuple):
     """Moving average of the failure rate at a point in time."""
 
-    failing: float
-    at: float
+    rate: float
+    updated_at: float
 
 
 class Health:
     """Failure rates of endpoints, from the answers seen by this entry.
 
     Attributes:
-        scores: Failure rate by endpoint id.
+        failure_rates: Failure rate by endpoint id.
     """
 
     def __init__(self):
-        self.scores: dict[str, Score] = {}
+        self.failure_rates: dict[str, FailureRate] = {}
 
     def note(self, endpoint: str, *, failed: bool, now: float) -> None:
         """Records the outcome of one request."""
-        before = self.failing(endpoint, now)
-        after = before + WEIGHT * (failed - before)
-        self.scores[endpoint] = Score(after, now)
+        previous_rate = self.failure_rate(endpoint, now)
+        new_rate = previous_rate + OUTCOME_WEIGHT * (failed - previous_rate)
+        self.failure_rates[endpoint] = FailureRate(new_rate, now)
 
-    def failing(self, endpoint: str, now: float) -> float:
+    def failure_rate(self, endpoint: str, now: float) -> float:
         """Returns the failure rate, decayed to ``now``."""
-        score = self.scores.get(endpoint)
-        if score is None:
+        last = self.failure_rates.get(endpoint)
+        if last is None:
             return 0.0
-        return score.failing * math.exp(-(now - score.at) / FADE_S)
+        return last.rate * math.exp(-(now - last.updated_at) / DECAY_TIME_S)
 
     def doubtful(self, endpoints: list[str], now: float) -> set[str]:
         """Returns the outliers among the endpoints of one upstream."""
-        failing = {each: self.failing(each, now) for each in endpoints}
-        best = min(failing.values(), default=0.0)
-        return {each for each, part in failing.items() if part > best + EXCESS}
+        rates = {
+            endpoint_id: self.failure_rate(endpoint_id, now)
+            for endpoint_id in endpoints
+        }
+        lowest_rate = min(rates.values(), default=0.0)
+        return {
+            endpoint_id
+            for endpoint_id, rate in rates.items()
+            if rate > lowest_rate + OUTLIER_EXCESS_RATE
+        }
--- a/src/_arbutuswalk/routing/prefixes.py
+++ b/src/_arbutuswalk/routing/prefixes.py
@@ -8,8 +8,8 @@
 CHARS_PER_TOKEN = 4
 BLOCK_TOKENS = BLOCK_CHARS // CHARS_PER_TOKEN
 MAX_BLOCKS = 512
-TRUST_LOST_PER_GAP = 0.5
-TRUST_GAINED_PER_EVENT = 0.05
+TRUST_FACTOR_PER_GAP = 0.5
+TRUST_INCREASE_PER_EVENT = 0.05
 
 
 def hash_blocks(text: str) -> tuple[str, ...]:
@@ -18,13 +18,13 @@
     Two texts have the first n hashes in common if and only if they have the
     first n blocks in common.
     """
-    chain = hashlib.blake2b(digest_size=8)
+    chained_hash = hashlib.blake2b(digest_size=8)
     hashes = []
-    whole = min(len(text) // BLOCK_CHARS, MAX_BLOCKS)
-    for i in range(whole):
+    block_count = min(len(text) // BLOCK_CHARS, MAX_BLOCKS)
+    for i in range(block_count):
         block = text[i * BLOCK_CHARS : (i + 1) * BLOCK_CHARS]
-        chain.update(block.encode())
-        hashes.append(chain.copy().hexdigest())
+        chained_hash.update(block.encode())
+        hashes.append(chained_hash.copy().hexdigest())
     return tuple(hashes)
 
 
@@ -36,14 +36,14 @@
     lowers the trust in the index instead of clearing it.
 
     Attributes:
-        capacity: Number of blocks that the cache can hold.
+        capacity_blocks: Number of blocks that the cache can hold.
         blocks: Hashes, least recently used first.
         trust: Confidence in a hit, from 0 to 1.
         last_event: Sequence number of the newest event.
     """
 
     def __init__(self, *, capacity_tokens: int):
-        self.capacity = max(1, capacity_tokens // BLOCK_TOKENS)
+        self.capacity_blocks = max(1, capacity_tokens // BLOCK_TOKENS)
         self.blocks: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
@@ -55,7 +55,7 @@
         for block in hashes:
             self.blocks[block] = None
             self.blocks.move_to_end(block)
-        while len(self.blocks) > self.capacity:
+        while len(self.blocks) > self.capacity_blocks:
             self.blocks.popitem(last=False)
 
     def match(self, hashes: Sequence[str]) -> int:
@@ -72,9 +72,9 @@
         if sequence <= self.last_event:
             return
         if sequence > self.last_event + 1 and self.last_event:
-            self.trust *= TRUST_LOST_PER_GAP
+            self.trust *= TRUST_FACTOR_PER_GAP
         else:
-            self.trust = min(1.0, self.trust + TRUST_GAINED_PER_EVENT)
+            self.trust = min(1.0, self.trust + TRUST_INCREASE_PER_EVENT)
         self.last_event = sequence
         for block in removed:
             self.blocks.pop(block, None)
--- a/src/_arbutuswalk/routing/recent.py
+++ b/src/_arbutuswalk/routing/recent.py
@@ -5,7 +5,7 @@
 KEPT_S = 8.0
 """Time for which a part is assumed to be cached where it was sent. Engines
 evict the least recently used parts, under load after some seconds."""
-MOST_PARTS = 20_000
+MAX_PARTS = 20_000
 """Maximum number of parts tracked; the oldest are evicted first."""
 
 
@@ -13,25 +13,25 @@
     """Times at which this entry sent prompt parts to endpoints.
 
     Attributes:
-        sent: Send time by endpoint id, by part, most recently sent last.
+        sent_at: Send time by endpoint id, by part, most recently sent last.
     """
 
     def __init__(self):
-        self.sent: collections.OrderedDict[str, dict[str, float]] = (
+        self.sent_at: collections.OrderedDict[str, dict[str, float]] = (
             collections.OrderedDict()
         )
 
     def note(self, part: str, endpoint: str, now: float) -> None:
         """Records that a part was sent to an endpoint."""
-        self.sent.setdefault(part, {})[endpoint] = now
-        self.sent.move_to_end(part)
-        if len(self.sent) > MOST_PARTS:
-            self.sent.popitem(last=False)
+        self.sent_at.setdefault(part, {})[endpoint] = now
+        self.sent_at.move_to_end(part)
+        if len(self.sent_at) > MAX_PARTS:
+            self.sent_at.popitem(last=False)
 
     def holders(self, part: str, now: float) -> set[str]:
         """Returns the endpoints where a part is probably still cached."""
         return {
             endpoint
-            for endpoint, at in self.sent.get(part, {}).items()
-            if now - at <= KEPT_S
+            for endpoint, sent_time in self.sent_at.get(part, {}).items()
+            if now - sent_time <= KEPT_S
         }
--- a/src/_arbutuswalk/routing/routetable.py
+++ b/src/_arbutuswalk/routing/routetable.py
@@ -10,16 +10,16 @@
 
     Attributes:
         config: The configuration.
-        routes: Route by host and path prefix.
-        holders: Workspace by API key.
+        routes_by_prefix: Route by host and path prefix.
+        workspaces_by_key: Workspace by API key.
     """
 
     def __init__(self, *, config: routeconfig.RouteConfig):
         self.config = config
-        self.routes = {
+        self.routes_by_prefix = {
             (route.host, route.prefix): route for route in config.routes
         }
-        self.holders = {
+        self.workspaces_by_key = {
             key: workspace
             for workspace in config.workspaces
             for key in workspace.keys
@@ -28,9 +28,9 @@
 
 def find(table: RouteTable, host: str, path: str) -> routeconfig.Route | None:
     """Returns the host's route with the longest matching path prefix."""
-    end = len(path)
-    while (end := path.rfind("/", 0, end)) >= 0:
-        route = table.routes.get((host, path[: end + 1]))
+    prefix_end = len(path)
+    while (prefix_end := path.rfind("/", 0, prefix_end)) >= 0:
+        route = table.routes_by_prefix.get((host, path[: prefix_end + 1]))
         if route is not None:
             return route
     return None
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -152,10 +152,10 @@
     """Applies an announcement made at ``heard_at`` by this entry's clock."""
     row = table.rows.get(said["id"])
     if row is None or row.said["incarnation"] < said["incarnation"]:
-        fresh = Row(said=said, heard_at=heard_at)
-        _note_leaving(fresh, said, heard_at)
-        table.put(fresh)
-        return Joined(row=fresh, replaced=row)
+        new_row = Row(said=said, heard_at=heard_at)
+        _note_leaving(new_row, said, heard_at)
+        table.put(new_row)
+        return Joined(row=new_row, replaced=row)
     if row.said["incarnation"] > said["incarnation"]:
         return Refused(reason="an incarnation that has been replaced")
     if row.said["address"] != said["address"]:
@@ -224,5 +224,7 @@
     This is temporary: a reservation ends once its suspect request has completed
     or has been confirmed to crash upstreams.
     """
-    up = [row for row in table.named(name) if row.health(now) is Health.USABLE]
-    return bool(up) and all(row.isolated for row in up)
+    usable_rows = [
+        row for row in table.named(name) if row.health(now) is Health.USABLE
+    ]
+    return bool(usable_rows) and all(row.isolated for row in usable_rows)
--- a/src/_arbutuswalk/routing/versions.py
+++ b/src/_arbutuswalk/routing/versions.py
@@ -3,7 +3,7 @@
 import hashlib
 from typing import Any
 
-FULL = 1000
+SHARE_SCALE = 1000
 
 
 def pick(
@@ -25,13 +25,13 @@
         if move["upstream"] != upstream:
             continue
         share = move["shares"].get(route, 0)
-        if draw(request_id) < share:
+        if share_position(request_id) < share:
             return move["new"], move["old"]
         return move["old"], ""
     return view.get("versions", {}).get(upstream, ""), ""
 
 
-def draw(request_id: str) -> int:
-    """Returns a hash of the request id, reduced to a number below ``FULL``."""
+def share_position(request_id: str) -> int:
+    """Returns a hash of the request id, reduced to below ``SHARE_SCALE``."""
     digest = hashlib.blake2b(request_id.encode(), digest_size=8).digest()
-    return int.from_bytes(digest, "big") % FULL
+    return int.from_bytes(digest, "big") % SHARE_SCALE
--- a/testing/relays.py
+++ b/testing/relays.py
@@ -70,10 +70,10 @@
         dialect=headers.DIALECT,
         options=OPTIONS._replace(**changes),
     )
-    relay.entries = 1
+    relay.entry_count = 1
     config = config or make_config()
     values = json.loads(json.dumps(routeconfig.to_json(config)))
-    watching.take_routes(relay, values, "test")
+    watching.apply_routes(relay, values, "test")
     return relay
 
 
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -26,39 +26,41 @@
 class TestReview:
     def lose(self, found, known, endpoint, at):
         directory.announce(found, endpoint, at - 0.5)
-        crashes.note_lost(known, "f", endpoint, at)
+        crashes.record_lost_connection(known, "f", endpoint, at)
 
     def test_an_endpoint_that_is_not_heard_again_has_died(self):
-        found, known = directory.Directory(), crashes.Crashes()
+        found, known = directory.Directory(), crashes.CrashTracker()
         self.lose(found, known, make_endpoint("a"), 10.0)
-        assert crashes.review(known, found, 11.0, 1.2) == []
-        assert len(crashes.review(known, found, 12.0, 1.2)) == 1
+        assert crashes.resolve_suspects(known, found, 11.0, 1.2) == []
+        assert len(crashes.resolve_suspects(known, found, 12.0, 1.2)) == 1
         assert known.deaths == {"f": {"a/1": 10.0}}
 
     def test_one_that_only_resets_connections_has_not(self):
-        found, known = directory.Directory(), crashes.Crashes()
+        found, known = directory.Directory(), crashes.CrashTracker()
         self.lose(found, known, make_endpoint("a"), 10.0)
         directory.announce(found, make_endpoint("a", sequence=2), 11.0)
-        assert crashes.review(known, found, 12.0, 1.2) == []
+        assert crashes.resolve_suspects(known, found, 12.0, 1.2) == []
         assert known.deaths == {}
 
     def test_one_that_started_again_has_died(self):
-        found, known = directory.Directory(), crashes.Crashes()
+        found, known = directory.Directory(), crashes.CrashTracker()
         self.lose(found, known, make_endpoint("a"), 10.0)
         directory.announce(found, make_endpoint("a", born_ms=2), 11.0)
-        assert len(crashes.review(known, found, 12.0, 1.2)) == 1
+        assert len(crashes.resolve_suspects(known, found, 12.0, 1.2)) == 1
 
     def test_one_that_leaves_has_not(self):
-        found, known = directory.Directory(), crashes.Crashes()
+        found, known = directory.Directory(), crashes.CrashTracker()
         self.lose(found, known, make_endpoint("a"), 10.0)
         directory.leave(found, "a", None, 11.0)
-        assert crashes.review(known, found, 12.0, 1.2) == []
+        assert crashes.resolve_suspects(known, found, 12.0, 1.2) == []
 
     def test_deaths_are_forgotten(self):
-        found, known = directory.Directory(), crashes.Crashes()
+        found, known = directory.Directory(), crashes.CrashTracker()
         self.lose(found, known, make_endpoint("a"), 10.0)
-        crashes.review(known, found, 12.0, 1.2)
-        crashes.review(known, found, 12.0 + crashes.KEPT_S, 1.2)
+        crashes.resolve_suspects(known, found, 12.0, 1.2)
+        crashes.resolve_suspects(
+            known, found, 12.0 + crashes.DEATH_RETENTION_S, 1.2
+        )
         assert known.deaths == {}
 
 
@@ -91,7 +93,7 @@
             came_at=relay.now(),
         )
         admitted = intake.admit(relay, arrival)
-        relay.refused = frozenset([admitted.fingerprint])
+        relay.refused_fingerprints = frozenset([admitted.fingerprint])
         refusal = intake.admit(relay, arrival)
         assert refusal.status == 503
         assert refusal.retry_after_s > 0
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -118,4 +118,4 @@
             directory.announce(found, make_endpoint(sequence=number), at)
         assert directory.expire(found, 5.0, 4.0) == ["a"]
         assert not found.rows
-        assert not found.holders
+        assert not found.ids_by_address
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from _arbutuswalk.relay import fetching
+from _arbutuswalk.relay import config_fetch
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire import packed
 from _arbutuswalk.wire.gen.arbutus import ttypes
@@ -49,12 +49,12 @@
 
 
 async def fetch(entry, *members):
-    await fetching.fetch(lambda: members, lambda: entry.version, entry.take)
+    await config_fetch.fetch(lambda: members, lambda: entry.version, entry.take)
 
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(fetching, "PAUSE_S", 0.0)
+    monkeypatch.setattr(config_fetch, "PAUSE_S", 0.0)
 
 
 class TestFetch:
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -336,7 +336,7 @@
         task = asyncio.ensure_future(
             relaying.relay_request(relay, request, to_caller)
         )
-        while not to_caller.events:
+        while not to_caller.event_count:
             await asyncio.sleep(0.01)
         to_caller.leave()
         await asyncio.wait_for(task, 10)
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -267,10 +267,10 @@
             note(made, OLD, False, 0.1)
         note(made, SIDE, False, 0.15)
         note(made, SIDE, False, 0.5)
-        assert made.counts_of(SIDE).slow == 1
-        assert made.counts_of(SIDE).timed == 2
+        assert made.counts_for(SIDE).slow == 1
+        assert made.counts_for(SIDE).timed == 2
 
     def test_without_a_baseline_nothing_counts_as_quick(self):
         made = evidence.Evidence()
         note(made, SIDE, False, 9.0)
-        assert made.counts_of(SIDE).timed == 0
+        assert made.counts_for(SIDE).timed == 0
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -26,7 +26,7 @@
     relay.now = Clock()
     relay.started_at = relay.now()
     watcher = watching.Watcher(relay=relay, seeds=[], listens_on="127.0.0.1:1")
-    feed = watching.Feed(address="127.0.0.1:2", now=relay.now())
+    feed = watching.ControlFeed(address="127.0.0.1:2", now=relay.now())
     watcher.feeds[feed.address] = feed
     return watcher, feed
 
@@ -52,7 +52,9 @@
 class TestWithoutControl:
     def test_known_endpoints_stay_while_nobody_answers(self):
         watcher, feed = make_watcher()
-        watcher._take(feed, news(endpoints=[test_crashes.make_endpoint("a")]))
+        watcher._apply_reply(
+            feed, news(endpoints=[test_crashes.make_endpoint("a")])
+        )
         feed.answered = False
         for _ in range(200):
             watcher.relay.now.time += 0.5
@@ -62,16 +64,18 @@
 
     def test_they_get_time_to_be_heard_when_control_is_back(self):
         watcher, feed = make_watcher()
-        watcher._take(feed, news(endpoints=[test_crashes.make_endpoint("a")]))
+        watcher._apply_reply(
+            feed, news(endpoints=[test_crashes.make_endpoint("a")])
+        )
         feed.answered = False
         watcher.relay.now.time += 100
         feed.heard_at = watcher.relay.now()
         watcher.tick()
-        watcher._take(feed, news())
+        watcher._apply_reply(feed, news())
         watcher.tick()
         assert "a" in watcher.relay.directory.rows
-        watcher.relay.now.time += watching.FORGET_S + 1
-        watcher._take(feed, news())
+        watcher.relay.now.time += watching.ENDPOINT_EXPIRY_S + 1
+        watcher._apply_reply(feed, news())
         watcher.tick()
         assert "a" not in watcher.relay.directory.rows
 
@@ -83,7 +87,7 @@
         waiting = asyncio.ensure_future(relay.learn(lambda: False))
         for _ in range(3):
             await asyncio.sleep(0)
-            relay.now.time += 0.6 * core.MOST_WAIT_S
+            relay.now.time += 0.6 * core.MAX_STARTUP_WAIT_S
             relay.tell()
             await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -96,28 +100,28 @@
         watcher, feed = make_watcher()
         before = watcher.relay.table
         config = json.loads(json.dumps(relays.make_config(version=1)._asdict()))
-        watcher._serve_routes(config, "test")
-        watcher._take(feed, news(routes_version=1))
+        watcher._apply_fetched_routes(config, "test")
+        watcher._apply_reply(feed, news(routes_version=1))
         assert watcher.relay.table is before
-        assert watcher.fetching is None
+        assert watcher.fetch_task is None
 
     async def test_a_newer_configuration_is_fetched_and_not_told_again(self):
         watcher, feed = make_watcher()
-        watcher._take(feed, news(routes_version=5))
-        assert not watcher.fetching.done()
-        assert watcher._message(feed).routes_version == 5
-        watcher.fetching.cancel()
+        watcher._apply_reply(feed, news(routes_version=5))
+        assert not watcher.fetch_task.done()
+        assert watcher._make_watch(feed).routes_version == 5
+        watcher.fetch_task.cancel()
 
     def test_own_loads_are_taken_out_of_the_sums(self):
         watcher, feed = make_watcher()
         watcher.relay.add_load("a", 2, 100)
-        watcher._message(feed)
-        watcher._take(feed, news(loads={"a": [5, 150], "b": [1, 0]}))
-        assert watcher.relay.others == {"a": (3, 50), "b": (1, 0)}
+        watcher._make_watch(feed)
+        watcher._apply_reply(feed, news(loads={"a": [5, 150], "b": [1, 0]}))
+        assert watcher.relay.other_loads == {"a": (3, 50), "b": (1, 0)}
 
     def test_a_leaving_endpoint_is_not_ready_at_once(self):
         watcher, feed = make_watcher()
         leaving = test_crashes.make_endpoint("a", state=directory.LEAVING)
-        watcher._take(feed, news(endpoints=[leaving]))
+        watcher._apply_reply(feed, news(endpoints=[leaving]))
         row = watcher.relay.directory.rows["a"]
         assert row.endpoint.state == directory.LEAVING
