--- a/testing/relays.py
+++ b/testing/relays.py
@@ -99,7 +99,7 @@
     return requests.Request(**{**values, **changes})
 
 
-class Caller:
+class RecordingCaller:
     """Records the answer sent to a caller."""
 
     def __init__(self):
@@ -128,11 +128,11 @@
     A step is called with the request head and the writer of the connection.
     """
 
-    def __init__(self, *steps, name="e1", upstream="ops", **said):
+    def __init__(self, *steps, name="e1", upstream="ops", **announced):
         self.steps = list(steps)
         self.name = name
         self.upstream = upstream
-        self.said = said
+        self.announced = announced
         self.heads = []
         self.bodies = []
         self.connections = 0
@@ -153,8 +153,8 @@
             "slots": 4,
             "state": directory.READY,
         }
-        said = directory.Endpoint(**{**values, **self.said})
-        directory.announce(relay.directory, said, relay.now())
+        announced = directory.Endpoint(**{**values, **self.announced})
+        directory.announce(relay.directory, announced, relay.now())
         return self
 
     async def serve(self, reader, writer):
@@ -201,8 +201,8 @@
 def reset_connection(writer):
     """Closes a connection with a TCP reset instead of a FIN."""
     sock = writer.get_extra_info("socket")
-    at_once = struct.pack("ii", 1, 0)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
+    zero_linger = struct.pack("ii", 1, 0)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
     writer.transport.abort()
 
 
--- a/testing/test_attempts.py
+++ b/testing/test_attempts.py
@@ -8,8 +8,8 @@
 from _arbutuswalk.streams import attempts
 
 EVENT = b"data: {}\n\n"
-DONE = b"data: [DONE]\n\n"
-QUICK = attempts.Deadlines(connect_s=2, first_byte_s=0.3, gap_s=0.3)
+DONE_EVENT = b"data: [DONE]\n\n"
+SHORT_DEADLINES = attempts.Deadlines(connect_s=2, first_byte_s=0.3, gap_s=0.3)
 HEAD = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: mine\r\nX-Cached-Tokens: 7\r\n"
 
 
@@ -24,9 +24,9 @@
 class Upstream:
     """Answers every connection with the same chunks of bytes."""
 
-    def __init__(self, pieces, stay_open=False):
+    def __init__(self, pieces, keep_open=False):
         self.pieces = pieces
-        self.stay_open = stay_open
+        self.keep_open = keep_open
         self.requests = []
 
     async def serve(self, reader, writer):
@@ -35,7 +35,7 @@
             writer.write(piece)
             await writer.drain()
             await asyncio.sleep(0)
-        if self.stay_open:
+        if self.keep_open:
             await reader.read()
             await reader.read()
         writer.close()
@@ -55,32 +55,32 @@
         priority=3,
         echo=True,
     )
-    result = await attempts.run(order, QUICK, events.extend)
+    result = await attempts.run(order, SHORT_DEADLINES, events.extend)
     server.close()
     return result, events
 
 
-class TestWhole:
+class TestCompleteStreams:
     async def test_chunked(self):
         result, events = await run(
-            [CHUNKED, chunk(EVENT), chunk(DONE), b"0\r\n\r\n"]
+            [CHUNKED, chunk(EVENT), chunk(DONE_EVENT), b"0\r\n\r\n"]
         )
         assert result == attempts.Completed(cached_tokens=7)
         assert events == [b"data: {}", b"data: [DONE]"]
 
-    async def test_cut_anywhere_between_pieces(self):
-        stream = CHUNKED + chunk(EVENT) + chunk(DONE) + b"0\r\n\r\n"
+    async def test_split_after_every_byte(self):
+        stream = CHUNKED + chunk(EVENT) + chunk(DONE_EVENT) + b"0\r\n\r\n"
         pieces = [stream[i : i + 1] for i in range(len(stream))]
         result, events = await run(pieces)
         assert isinstance(result, attempts.Completed)
         assert len(events) == 2
 
-    async def test_end_marker_suffices(self):
-        result, _ = await run([CHUNKED, chunk(DONE)], stay_open=True)
+    async def test_end_event_suffices(self):
+        result, _ = await run([CHUNKED, chunk(DONE_EVENT)], keep_open=True)
         assert isinstance(result, attempts.Completed)
 
 
-class TestNotWhole:
+class TestIncompleteStreams:
     @pytest.mark.parametrize(
         "pieces",
         [
@@ -96,30 +96,30 @@
             pytest.param([], id="nothing"),
         ],
     )
-    async def test_broke(self, pieces):
+    async def test_broken_answer(self, pieces):
         result, events = await run(pieces)
         assert isinstance(result, attempts.Broke)
         assert b"data: [DONE]" not in events
         assert all(b"error" not in event for event in events)
 
-    async def test_silent_before_the_first_byte(self):
-        result, _ = await run([], stay_open=True)
+    async def test_silence_before_the_first_byte(self):
+        result, _ = await run([], keep_open=True)
         assert isinstance(result, attempts.Silent)
 
-    async def test_silent_between_tokens(self):
-        result, events = await run([CHUNKED, chunk(EVENT)], stay_open=True)
+    async def test_silence_between_tokens(self):
+        result, events = await run([CHUNKED, chunk(EVENT)], keep_open=True)
         assert result == attempts.Silent(after_s=0.3, cached_tokens=7)
         assert len(events) == 1
 
-    async def test_crossed_answer_is_not_used(self):
+    async def test_mismatched_answer_is_not_used(self):
         head = CHUNKED.replace(b"mine", b"other")
-        result, events = await run([head, chunk(EVENT), chunk(DONE)])
+        result, events = await run([head, chunk(EVENT), chunk(DONE_EVENT)])
         assert result == attempts.Crossed(got="other")
         assert events == []
 
     async def test_missing_echo_is_not_used(self):
         head = CHUNKED.replace(b"X-Attempt-Id: mine\r\n", b"")
-        result, events = await run([head, chunk(EVENT), chunk(DONE)])
+        result, events = await run([head, chunk(EVENT), chunk(DONE_EVENT)])
         assert isinstance(result, attempts.Crossed)
         assert events == []
 
@@ -129,10 +129,10 @@
         assert result == attempts.Declined(status=503, detail="full")
         assert events == []
 
-    async def test_nobody_there(self):
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            address = f"127.0.0.1:{probe.getsockname()[1]}"
+    async def test_connection_refused(self):
+        with socket.socket() as unused_socket:
+            unused_socket.bind(("127.0.0.1", 0))
+            address = f"127.0.0.1:{unused_socket.getsockname()[1]}"
         order = attempts.Order(address, "/", "r", "mine", {}, 1, True)
-        result = await attempts.run(order, QUICK, print)
+        result = await attempts.run(order, SHORT_DEADLINES, print)
         assert isinstance(result, attempts.NotConnected)
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -23,53 +23,53 @@
     return directory.Endpoint(**{**values, **changes})
 
 
-class TestReview:
-    def lose(self, found, known, endpoint, at):
-        directory.announce(found, endpoint, at - 0.5)
-        crashes.record_lost_connection(known, "f", endpoint, at)
-
-    def test_an_endpoint_that_is_not_heard_again_has_died(self):
-        found, known = directory.Directory(), crashes.CrashTracker()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        assert crashes.resolve_suspects(known, found, 11.0, 1.2) == []
-        assert len(crashes.resolve_suspects(known, found, 12.0, 1.2)) == 1
-        assert known.deaths == {"f": {"a/1": 10.0}}
-
-    def test_one_that_only_resets_connections_has_not(self):
-        found, known = directory.Directory(), crashes.CrashTracker()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        directory.announce(found, make_endpoint("a", sequence=2), 11.0)
-        assert crashes.resolve_suspects(known, found, 12.0, 1.2) == []
-        assert known.deaths == {}
-
-    def test_one_that_started_again_has_died(self):
-        found, known = directory.Directory(), crashes.CrashTracker()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        directory.announce(found, make_endpoint("a", born_ms=2), 11.0)
-        assert len(crashes.resolve_suspects(known, found, 12.0, 1.2)) == 1
-
-    def test_one_that_leaves_has_not(self):
-        found, known = directory.Directory(), crashes.CrashTracker()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        directory.leave(found, "a", None, 11.0)
-        assert crashes.resolve_suspects(known, found, 12.0, 1.2) == []
-
-    def test_deaths_are_forgotten(self):
-        found, known = directory.Directory(), crashes.CrashTracker()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        crashes.resolve_suspects(known, found, 12.0, 1.2)
+class TestResolveSuspects:
+    def lose_connection(self, endpoints, tracker, endpoint, at):
+        directory.announce(endpoints, endpoint, at - 0.5)
+        crashes.record_lost_connection(tracker, "f", endpoint, at)
+
+    def test_an_endpoint_without_further_heartbeats_has_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        assert crashes.resolve_suspects(tracker, endpoints, 11.0, 1.2) == []
+        assert len(crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2)) == 1
+        assert tracker.deaths == {"f": {"a/1": 10.0}}
+
+    def test_an_endpoint_that_only_resets_connections_has_not_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        directory.announce(endpoints, make_endpoint("a", sequence=2), 11.0)
+        assert crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2) == []
+        assert tracker.deaths == {}
+
+    def test_an_endpoint_that_restarted_has_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        directory.announce(endpoints, make_endpoint("a", born_ms=2), 11.0)
+        assert len(crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2)) == 1
+
+    def test_an_endpoint_that_leaves_has_not_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        directory.leave(endpoints, "a", None, 11.0)
+        assert crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2) == []
+
+    def test_deaths_expire(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2)
         crashes.resolve_suspects(
-            known, found, 12.0 + crashes.DEATH_RETENTION_S, 1.2
+            tracker, endpoints, 12.0 + crashes.DEATH_RETENTION_S, 1.2
         )
-        assert known.deaths == {}
+        assert tracker.deaths == {}
 
 
-class TestAddUp:
+class TestFingerprintsToRefuse:
     def test_one_death_seen_by_many_entries_counts_once(self):
         reports = [{"f": ["a/1"]}] * 5
         assert crashes.add_up(reports) == []
 
-    def test_deaths_at_several_entries_add_up(self):
+    def test_deaths_at_several_entries_are_summed(self):
         reports = [{"f": ["a/1"], "g": ["a/1"]}, {"f": ["b/1"]}]
         reports.append({"f": ["c/1"], "g": ["c/1"]})
         assert crashes.add_up(reports) == ["f"]
@@ -105,7 +105,7 @@
         broken = relays.raw(b"", reset=True)
         endpoint = await relays.Endpoint(broken, broken).start(relay)
         request = relays.make_request(relay)
-        caller = relays.Caller()
+        caller = relays.RecordingCaller()
         await relaying.relay_request(
             relay, request, caller.deliver(relay, request)
         )
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -24,59 +24,59 @@
     return directory.Endpoint(**{**values, **changes})
 
 
-def state_of(found, name="a"):
-    return found.rows[name].endpoint.state
+def state_of(endpoints, name="a"):
+    return endpoints.rows[name].endpoint.state
 
 
 class TestAnnounce:
-    def test_a_late_announcement_does_not_bring_a_leaving_one_back(self):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(sequence=1), 0.0)
+    def test_a_late_announcement_does_not_undo_leaving(self):
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(sequence=1), 0.0)
         leaving = make_endpoint(sequence=3, state=directory.LEAVING)
-        directory.announce(found, leaving, 1.0)
-        directory.announce(found, make_endpoint(sequence=2), 2.0)
-        directory.announce(found, make_endpoint(sequence=4), 2.0)
-        assert state_of(found) == directory.LEAVING
-
-    def test_leaving_counts_although_its_sequence_is_late(self):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(sequence=5), 0.0)
+        directory.announce(endpoints, leaving, 1.0)
+        directory.announce(endpoints, make_endpoint(sequence=2), 2.0)
+        directory.announce(endpoints, make_endpoint(sequence=4), 2.0)
+        assert state_of(endpoints) == directory.LEAVING
+
+    def test_leaving_applies_despite_a_lower_sequence(self):
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(sequence=5), 0.0)
         leaving = make_endpoint(sequence=4, state=directory.LEAVING)
-        assert directory.announce(found, leaving, 1.0)
-        assert state_of(found) == directory.LEAVING
+        assert directory.announce(endpoints, leaving, 1.0)
+        assert state_of(endpoints) == directory.LEAVING
 
     def test_a_new_start_under_the_same_id_is_ready_again(self):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(), 0.0)
-        directory.leave(found, "a", None, 1.0)
-        directory.announce(found, make_endpoint(born_ms=2000), 2.0)
-        assert state_of(found) == directory.READY
-
-    def test_a_former_start_is_not_heard(self):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(born_ms=2000), 0.0)
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(), 0.0)
+        directory.leave(endpoints, "a", None, 1.0)
+        directory.announce(endpoints, make_endpoint(born_ms=2000), 2.0)
+        assert state_of(endpoints) == directory.READY
+
+    def test_an_announcement_of_a_former_start_is_ignored(self):
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(born_ms=2000), 0.0)
         late = make_endpoint(born_ms=1000, sequence=99, version="v0")
-        assert not directory.announce(found, late, 1.0)
-        assert found.rows["a"].endpoint.version == "v1"
-        assert found.rows["a"].heard_at == 0.0
+        assert not directory.announce(endpoints, late, 1.0)
+        assert endpoints.rows["a"].endpoint.version == "v1"
+        assert endpoints.rows["a"].heard_at == 0.0
 
     def test_an_address_belongs_to_the_latest_start(self):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(), 0.0)
-        directory.announce(found, make_endpoint(id="b", born_ms=2000), 1.0)
-        assert state_of(found) == directory.GONE
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(), 0.0)
+        directory.announce(endpoints, make_endpoint(id="b", born_ms=2000), 1.0)
+        assert state_of(endpoints) == directory.GONE
         late = make_endpoint(id="c", born_ms=1500)
-        assert not directory.announce(found, late, 2.0)
-        assert "c" not in found.rows
-
-    def test_a_higher_sequence_alone_is_no_news(self):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(), 0.0)
-        revision = found.revision
-        assert not directory.announce(found, make_endpoint(sequence=2), 1.0)
-        assert found.rows["a"].heard_at == 1.0
-        assert not directory.has_news_since(found, revision)
-        assert directory.since(found, revision)
+        assert not directory.announce(endpoints, late, 2.0)
+        assert "c" not in endpoints.rows
+
+    def test_a_higher_sequence_alone_is_no_change(self):
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(), 0.0)
+        revision = endpoints.revision
+        assert not directory.announce(endpoints, make_endpoint(sequence=2), 1.0)
+        assert endpoints.rows["a"].heard_at == 1.0
+        assert not directory.has_news_since(endpoints, revision)
+        assert directory.since(endpoints, revision)
 
     @hypothesis.given(
         order=strategies.permutations(range(5)),
@@ -95,27 +95,27 @@
         assert found.rows["a"].endpoint == said[4]
 
 
-class TestLeave:
+class TestDeregister:
     @pytest.mark.parametrize("born_ms", [None, 1000, 1500])
     def test_a_deregistration_is_final_for_the_start(self, born_ms):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(), 0.0)
-        assert directory.leave(found, "a", born_ms, 1.0)
-        assert state_of(found) == directory.GONE
-        assert not directory.leave(found, "a", born_ms, 1.0)
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(), 0.0)
+        assert directory.leave(endpoints, "a", born_ms, 1.0)
+        assert state_of(endpoints) == directory.GONE
+        assert not directory.leave(endpoints, "a", born_ms, 1.0)
 
-    def test_one_of_a_former_start_is_ignored(self):
-        found = directory.Directory()
-        directory.announce(found, make_endpoint(), 0.0)
-        assert not directory.leave(found, "a", 999, 1.0)
-        assert state_of(found) == directory.READY
+    def test_a_deregistration_of_a_former_start_is_ignored(self):
+        endpoints = directory.Directory()
+        directory.announce(endpoints, make_endpoint(), 0.0)
+        assert not directory.leave(endpoints, "a", 999, 1.0)
+        assert state_of(endpoints) == directory.READY
 
 
 class TestExpire:
-    def test_silent_rows_are_dropped_with_their_address(self):
-        found = directory.Directory()
+    def test_silent_rows_are_removed_with_their_address(self):
+        endpoints = directory.Directory()
         for number, at in itertools.product([1], [0.0]):
-            directory.announce(found, make_endpoint(sequence=number), at)
-        assert directory.expire(found, 5.0, 4.0) == ["a"]
-        assert not found.rows
-        assert not found.ids_by_address
+            directory.announce(endpoints, make_endpoint(sequence=number), at)
+        assert directory.expire(endpoints, 5.0, 4.0) == ["a"]
+        assert not endpoints.rows
+        assert not endpoints.ids_by_address
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -8,25 +8,25 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 PART_BYTES = 10
-TAKEN = {"version": 7, "routes": [f"r{i}" for i in range(20)]}
+CONFIG = {"version": 7, "routes": [f"r{i}" for i in range(20)]}
 
 
-class Member:
+class FakeMember:
     """A fake control member that is also the link to it."""
 
-    def __init__(self, name, version=7, values=None, fails=()):
+    def __init__(self, name, version=7, values=None, failing_calls=()):
         self.address = name
         self.link = self
         self.answered = True
         self.routes_version = version
         self.held_version = version
-        self.data = packed.pack(values or TAKEN)
-        self.fails = set(fails)
-        self.asked = []
+        self.data = packed.pack(values or CONFIG)
+        self.failing_calls = set(failing_calls)
+        self.requested_offsets = []
 
     async def call(self, message, *, timeout_s):
-        self.asked.append(message.offset)
-        if len(self.asked) in self.fails:
+        self.requested_offsets.append(message.offset)
+        if len(self.requested_offsets) in self.failing_calls:
             return link.TimedOut(after_s=timeout_s)
         end = message.offset + PART_BYTES
         return ttypes.RoutesPart(
@@ -36,98 +36,110 @@
         )
 
 
-class Entry:
+class FakeEntry:
     """Records the configurations that an entry puts into use."""
 
     def __init__(self, version=3):
         self.version = version
-        self.taken = []
+        self.applied = []
 
-    def take(self, values, source):
+    def apply_config(self, values, source):
         self.version = values["version"]
-        self.taken.append((values, source))
+        self.applied.append((values, source))
 
 
 async def fetch(entry, *members):
-    await config_fetch.fetch(lambda: members, lambda: entry.version, entry.take)
+    await config_fetch.fetch(
+        lambda: members, lambda: entry.version, entry.apply_config
+    )
 
 
 @pytest.fixture(autouse=True)
-def quick(monkeypatch):
+def no_pause(monkeypatch):
     monkeypatch.setattr(config_fetch, "PAUSE_S", 0.0)
 
 
 class TestFetch:
-    async def test_only_one_member_sends_it(self):
-        entry, members = Entry(), [Member("a"), Member("b"), Member("c")]
+    async def test_only_one_member_is_asked(self):
+        entry, members = (
+            FakeEntry(),
+            [FakeMember("a"), FakeMember("b"), FakeMember("c")],
+        )
         await fetch(entry, *members)
-        assert entry.taken == [(TAKEN, "a")]
-        assert [len(each.asked) > 0 for each in members] == [True, False, False]
-
-    async def test_another_goes_on_where_one_fails(self):
-        entry = Entry()
-        members = [Member("a", fails=range(3, 1000)), Member("b")]
+        assert entry.applied == [(CONFIG, "a")]
+        assert [len(member.requested_offsets) > 0 for member in members] == [
+            True,
+            False,
+            False,
+        ]
+
+    async def test_another_member_continues_where_one_fails(self):
+        entry = FakeEntry()
+        members = [
+            FakeMember("a", failing_calls=range(3, 1000)),
+            FakeMember("b"),
+        ]
         await fetch(entry, *members)
-        assert entry.taken == [(TAKEN, "b")]
-        assert members[1].asked[0] == 2 * PART_BYTES
+        assert entry.applied == [(CONFIG, "b")]
+        assert members[1].requested_offsets[0] == 2 * PART_BYTES
 
-    async def test_a_newer_version_in_between_starts_over(self):
-        entry, member = Entry(), Member("a")
+    async def test_a_newer_version_restarts_the_fetch(self):
+        entry, member = FakeEntry(), FakeMember("a")
         newer = {"version": 9, "routes": ["x" * 50]}
-        real = member.call
+        original_call = member.call
 
         async def call(message, *, timeout_s):
             if message.offset == 2 * PART_BYTES:
                 member.held_version = 9
                 member.data = packed.pack(newer)
-            return await real(message, timeout_s=timeout_s)
+            return await original_call(message, timeout_s=timeout_s)
 
         member.call = call
         await fetch(entry, member)
-        assert entry.taken == [(newer, "a")]
+        assert entry.applied == [(newer, "a")]
 
-    async def test_a_member_that_lags_behind_is_passed_over(self):
-        entry = Entry()
-        late = Member("a")
-        late.held_version = 3
-        await fetch(entry, late, Member("b"))
-        assert entry.taken == [(TAKEN, "b")]
+    async def test_a_lagging_member_is_skipped(self):
+        entry = FakeEntry()
+        lagging = FakeMember("a")
+        lagging.held_version = 3
+        await fetch(entry, lagging, FakeMember("b"))
+        assert entry.applied == [(CONFIG, "b")]
 
     async def test_a_member_that_fails_is_asked_again_if_it_is_alone(self):
-        entry, member = Entry(), Member("a", fails=(1, 2, 4))
+        entry, member = FakeEntry(), FakeMember("a", failing_calls=(1, 2, 4))
         await fetch(entry, member)
-        assert entry.taken == [(TAKEN, "a")]
+        assert entry.applied == [(CONFIG, "a")]
 
-    async def test_bytes_that_do_not_unpack_are_not_served(self):
-        entry, broken = Entry(), Member("a")
+    async def test_undecodable_bytes_are_not_applied(self):
+        entry, broken = FakeEntry(), FakeMember("a")
         broken.data = b"\x00" * len(broken.data)
-        await fetch(entry, broken, Member("b"))
-        assert entry.taken == [(TAKEN, "b")]
+        await fetch(entry, broken, FakeMember("b"))
+        assert entry.applied == [(CONFIG, "b")]
 
-    async def test_it_ends_when_nobody_has_a_newer_one(self):
-        entry, gone = Entry(), Member("a")
-        gone.answered = False
-        await fetch(entry, gone, Member("b", version=3))
-        assert entry.taken == []
+    async def test_it_ends_when_no_member_has_a_newer_version(self):
+        entry, disconnected = FakeEntry(), FakeMember("a")
+        disconnected.answered = False
+        await fetch(entry, disconnected, FakeMember("b", version=3))
+        assert entry.applied == []
 
 
-class TestPacked:
-    def test_a_value_comes_back(self):
-        assert packed.unpack(packed.pack(TAKEN)) == TAKEN
+class TestEncoding:
+    def test_a_value_round_trips(self):
+        assert packed.unpack(packed.pack(CONFIG)) == CONFIG
 
     @pytest.mark.parametrize(
         "data",
         [
             pytest.param(b"", id="empty"),
             pytest.param(b"{}", id="not-packed"),
-            pytest.param(packed.pack(TAKEN)[:-1], id="cut"),
+            pytest.param(packed.pack(CONFIG)[:-1], id="cut"),
         ],
     )
-    def test_other_bytes_are_refused(self, data):
+    def test_invalid_bytes_are_rejected(self, data):
         with pytest.raises(ValueError, match=r".+"):
             packed.unpack(data)
 
-    def test_more_than_memory_allows_is_refused(self, monkeypatch):
+    def test_data_over_the_size_limit_is_rejected(self, monkeypatch):
         monkeypatch.setattr(packed, "MAX_BYTES", 100)
         with pytest.raises(ValueError, match="over 100 bytes"):
             packed.unpack(packed.pack("x" * 1000))
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -11,19 +11,19 @@
 from _arbutuswalk.state import routeconfig
 from _arbutuswalk.streams import connection
 
-ONCE = relays.make_route(kind=routeconfig.ONCE, max_attempts=1)
-STREAM = relays.make_route(
+NON_IDEMPOTENT_ROUTE = relays.make_route(kind=routeconfig.ONCE, max_attempts=1)
+STREAM_ROUTE = relays.make_route(
     kind=routeconfig.STREAM, resumable=True, timeout_s=3.0
 )
-FINAL_STREAM = relays.make_route(
+NON_RESUMABLE_ROUTE = relays.make_route(
     kind=routeconfig.STREAM, resumable=False, max_attempts=1, timeout_s=3.0
 )
-NOT_RUN = "X-Not-Executed: 1\r\n"
+NOT_EXECUTED_HEADER = "X-Not-Executed: 1\r\n"
 
 
-async def run(relay, *endpoints, **changes):
+async def relay_to(relay, *endpoints, **changes):
     started = [await each.start(relay) for each in endpoints]
-    caller = relays.Caller()
+    caller = relays.RecordingCaller()
     request = relays.make_request(relay, **changes)
     to_caller = caller.deliver(relay, request)
     await relaying.relay_request(relay, request, to_caller)
@@ -37,7 +37,7 @@
     async def test_an_answer_is_passed_on_unchanged(self):
         relay = relays.make_relay()
         endpoint = relays.Endpoint(relays.answer(b"bytes \x00\xff"))
-        caller = await run(relay, endpoint)
+        caller = await relay_to(relay, endpoint)
         assert (caller.status, caller.data) == (200, b"bytes \x00\xff")
         assert (b"x-server-signature", b"s") in caller.headers
         assert caller.complete
@@ -45,7 +45,7 @@
     async def test_the_endpoint_gets_what_the_caller_sent(self):
         relay = relays.make_relay()
         endpoint = relays.Endpoint()
-        await run(relay, endpoint)
+        await relay_to(relay, endpoint)
         head = endpoint.heads[0]
         assert head.startswith("POST /a/x?y=1 HTTP/1.1\r\n")
         assert "x-expected-instance: e1" in head
@@ -56,7 +56,7 @@
         relay = relays.make_relay()
         endpoint = relays.Endpoint()
         now = relay.now()
-        await run(relay, endpoint, came_at=now - 0.5, deadline=now + 0.5)
+        await relay_to(relay, endpoint, came_at=now - 0.5, deadline=now + 0.5)
         line = next(
             line
             for line in endpoint.heads[0].split("\r\n")
@@ -64,39 +64,41 @@
         )
         assert 300 < int(line.partition(":")[2]) <= 500
 
-    async def test_an_answer_larger_than_what_may_wait_comes_whole(self):
+    async def test_an_answer_over_the_pause_limit_is_complete(self):
         """Reading pauses for slow callers only, not before the first byte."""
         body = b"x" * (4 * connection.PAUSE_BYTES)
         relay = relays.make_relay()
-        caller = await run(relay, relays.Endpoint(relays.answer(body)))
+        caller = await relay_to(relay, relays.Endpoint(relays.answer(body)))
         assert (caller.status, caller.data) == (200, body)
 
-    async def test_an_answer_larger_than_may_be_held_is_none(self, monkeypatch):
+    async def test_an_answer_over_the_buffer_limit_is_a_failure(
+        self, monkeypatch
+    ):
         monkeypatch.setattr(attempts, "MAX_WHOLE_BYTES", 1000)
         relay = relays.make_relay()
         endpoints = [relays.Endpoint(relays.answer(b"x" * 1001))]
-        caller = await run(relay, *endpoints, route=ONCE)
+        caller = await relay_to(relay, *endpoints, route=NON_IDEMPOTENT_ROUTE)
         assert caller.status == 502
 
     async def test_an_answer_without_length_ends_with_its_connection(self):
         relay = relays.make_relay()
         unframed = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: attempt-1\r\n\r\nrest"
-        caller = await run(
+        caller = await relay_to(
             relay, relays.Endpoint(relays.raw(unframed, close=True))
         )
         assert (caller.status, caller.data) == (200, b"rest")
 
-    async def test_one_without_length_that_is_reset_is_not_complete(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
+    async def test_an_answer_without_length_that_is_reset_is_incomplete(self):
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
         unframed = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: attempt-1\r\n\r\nrest"
-        caller = await run(
+        caller = await relay_to(
             relay,
             relays.Endpoint(relays.raw(unframed, reset=True, wait_s=0.05)),
         )
         assert caller.status == 502
 
     async def test_a_late_answer_to_another_request_is_skipped(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
         wrong = (
             b"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\n"
             b"Content-Length: 5\r\n\r\nwrong"
@@ -106,7 +108,7 @@
             b"Content-Length: 5\r\n\r\nright"
         )
         endpoint = relays.Endpoint(relays.raw(wrong + right))
-        caller = await run(relay, endpoint)
+        caller = await relay_to(relay, endpoint)
         assert (caller.status, caller.data) == (200, b"right")
         assert not relay.pool.idle
 
@@ -119,7 +121,7 @@
         )
         endpoint = await relays.Endpoint(twice, relays.answer()).start(relay)
         for expected in (b"ok", b"ok"):
-            caller = relays.Caller()
+            caller = relays.RecordingCaller()
             request = relays.make_request(relay)
             await relaying.relay_request(
                 relay, request, caller.deliver(relay, request)
@@ -128,19 +130,19 @@
         assert endpoint.connections == 2
         endpoint.stop()
 
-    async def test_a_clean_connection_is_used_again(self):
+    async def test_a_clean_connection_is_reused(self):
         relay = relays.make_relay()
         endpoint = await relays.Endpoint().start(relay)
         for _ in range(3):
             request = relays.make_request(relay)
             await relaying.relay_request(
-                relay, request, relays.Caller().deliver(relay, request)
+                relay, request, relays.RecordingCaller().deliver(relay, request)
             )
         assert endpoint.connections == 1
         endpoint.stop()
 
 
-class TestRepeatable:
+class TestIdempotentRequests:
     @pytest.mark.parametrize(
         "broken",
         [
@@ -153,13 +155,13 @@
         ],
         ids=["reset", "garbage", "cut", "failure"],
     )
-    async def test_it_is_sent_once_more_to_another_endpoint(self, broken):
+    async def test_it_is_retried_once_at_another_endpoint(self, broken):
         relay = relays.make_relay()
         first = relays.Endpoint(broken, name="e1")
         second = relays.Endpoint(broken, name="e2")
         third = relays.Endpoint(name="e3")
         first.steps = second.steps = third.steps = [broken]
-        caller = await run(relay, first, second, third)
+        caller = await relay_to(relay, first, second, third)
         assert caller.status == 200
         arrivals = [*first.heads, *second.heads, *third.heads]
         assert len(arrivals) == 2
@@ -170,14 +172,14 @@
         endpoints = [relays.Endpoint(name=f"e{i}") for i in range(4)]
         for endpoint in endpoints:
             endpoint.steps = steps
-        caller = await run(relay, *endpoints)
+        caller = await relay_to(relay, *endpoints)
         assert caller.status == 502
         assert sum(len(each.heads) for each in endpoints) == 2
 
-    async def test_the_upstreams_own_failure_is_the_answer_in_the_end(self):
+    async def test_the_upstreams_own_failure_is_the_final_answer(self):
         relay = relays.make_relay()
         failing = relays.answer(b"no", status="500 Bad")
-        caller = await run(
+        caller = await relay_to(
             relay,
             relays.Endpoint(failing, name="e1"),
             relays.Endpoint(failing, name="e2"),
@@ -185,17 +187,17 @@
         assert (caller.status, caller.data) == (500, b"no")
         assert (b"x-server-signature", b"s") in caller.headers
 
-    async def test_no_room_for_retries_means_no_second_endpoint(self):
+    async def test_an_exhausted_retry_budget_means_no_second_endpoint(self):
         relay = relays.make_relay(retry_ratio=0.0, retry_extra=0.0)
         first = relays.Endpoint(name="e1")
         second = relays.Endpoint(name="e2")
         first.steps = second.steps = [relays.raw(b"", reset=True)]
-        caller = await run(relay, first, second)
+        caller = await relay_to(relay, first, second)
         assert caller.status == 502
         assert len(first.heads) + len(second.heads) == 1
 
 
-class TestOnce:
+class TestNonIdempotentRequests:
     @pytest.mark.parametrize(
         "broken",
         [
@@ -209,54 +211,56 @@
         ids=["reset", "closed", "garbage", "cut"],
     )
     async def test_an_unclear_outcome_is_never_sent_again(self, broken):
-        relay = relays.make_relay(relays.make_config(ONCE))
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
         first = relays.Endpoint(name="e1")
         second = relays.Endpoint(name="e2")
         first.steps = second.steps = [broken]
-        caller = await run(relay, first, second)
+        caller = await relay_to(relay, first, second)
         assert caller.status == 502
         assert len(first.heads) + len(second.heads) == 1
 
-    async def test_one_that_has_not_run_goes_to_another_endpoint(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
-        full = relays.answer(status="503 Full", extra=NOT_RUN)
+    async def test_a_request_that_has_not_run_is_retried_elsewhere(self):
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
+        full = relays.answer(status="503 Full", extra=NOT_EXECUTED_HEADER)
         first = relays.Endpoint(name="e1")
         second = relays.Endpoint(name="e2")
         first.steps = second.steps = [full]
-        caller = await run(relay, first, second)
+        caller = await relay_to(relay, first, second)
         assert caller.status == 200
 
-    async def test_one_that_nobody_ran_is_refused_with_a_time_to_return(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
-        full = relays.answer(status="503 Full", extra=NOT_RUN)
-        caller = await run(relay, relays.Endpoint(full))
+    async def test_a_request_that_no_endpoint_ran_is_refused_with_retry_after(
+        self,
+    ):
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
+        full = relays.answer(status="503 Full", extra=NOT_EXECUTED_HEADER)
+        caller = await relay_to(relay, relays.Endpoint(full))
         assert caller.status == 503
         assert any(name == b"retry-after" for name, _ in caller.headers)
         assert not any(n == b"x-server-signature" for n, _ in caller.headers)
 
-    async def test_the_address_of_another_endpoint_has_not_run_it(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
+    async def test_a_misdirected_request_has_not_run(self):
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
         other = relays.answer(status="421 Misdirected")
-        caller = await run(relay, relays.Endpoint(other))
+        caller = await relay_to(relay, relays.Endpoint(other))
         assert caller.status == 503
 
-    async def test_silence_until_the_deadline_promises_nothing(self):
-        route = ONCE._replace(timeout_s=0.2)
+    async def test_silence_until_the_deadline_is_a_timeout(self):
+        route = NON_IDEMPOTENT_ROUTE._replace(timeout_s=0.2)
         relay = relays.make_relay(relays.make_config(route))
-        caller = await run(relay, relays.Endpoint(relays.silent()))
+        caller = await relay_to(relay, relays.Endpoint(relays.silent()))
         assert caller.status == 504
 
     async def test_no_endpoint_means_a_refusal_at_once(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
         relay.started_at -= 60
-        caller = await run(relay)
+        caller = await relay_to(relay)
         assert caller.status == 503
         assert not await relay.learn(lambda: False)
 
     async def test_a_new_process_waits_for_its_first_endpoint(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
         endpoint = relays.Endpoint()
-        caller = relays.Caller()
+        caller = relays.RecordingCaller()
         request = relays.make_request(relay)
         task = asyncio.ensure_future(
             relaying.relay_request(
@@ -272,16 +276,16 @@
 
 
 class TestStreams:
-    async def test_events_are_passed_on_whole(self):
-        relay = relays.make_relay(relays.make_config(STREAM))
-        caller = await run(
+    async def test_complete_events_are_forwarded(self):
+        relay = relays.make_relay(relays.make_config(STREAM_ROUTE))
+        caller = await relay_to(
             relay, relays.Endpoint(relays.stream((1, "a"), (2, "b")))
         )
         assert caller.data == b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
         assert caller.complete
 
-    async def test_a_broken_stream_goes_on_after_the_last_whole_event(self):
-        relay = relays.make_relay(relays.make_config(STREAM))
+    async def test_a_broken_stream_resumes_after_the_last_complete_event(self):
+        relay = relays.make_relay(relays.make_config(STREAM_ROUTE))
         broken = relays.stream(
             (1, "a"), (2, "b"), end=False, close=True, extra="id: 3\nda"
         )
@@ -289,7 +293,7 @@
         first = relays.Endpoint(name="e1")
         second = relays.Endpoint(name="e2")
         first.steps = second.steps = [broken, rest]
-        caller = await run(relay, first, second)
+        caller = await relay_to(relay, first, second)
         ids = [
             line
             for line in caller.data.decode().split("\n")
@@ -301,38 +305,38 @@
         resumed = [head for head in heads if "last-event-id: 2" in head]
         assert len(resumed) == 1
 
-    async def test_events_that_come_twice_are_left_out(self):
-        relay = relays.make_relay(relays.make_config(STREAM))
+    async def test_duplicate_events_are_dropped(self):
+        relay = relays.make_relay(relays.make_config(STREAM_ROUTE))
         first = relays.Endpoint(name="e1")
         second = relays.Endpoint(name="e2")
         first.steps = second.steps = [
             relays.stream((1, "a"), (2, "b"), end=False, close=True),
             relays.stream((2, "b"), (3, "c")),
         ]
-        caller = await run(relay, first, second)
+        caller = await relay_to(relay, first, second)
         assert caller.data.count(b"id: 2\n") == 1
 
-    async def test_a_final_stream_that_breaks_does_not_look_complete(self):
-        relay = relays.make_relay(relays.make_config(FINAL_STREAM))
+    async def test_a_broken_non_resumable_stream_is_not_ended(self):
+        relay = relays.make_relay(relays.make_config(NON_RESUMABLE_ROUTE))
         first = relays.Endpoint(name="e1")
         second = relays.Endpoint(name="e2")
         first.steps = second.steps = [
             relays.stream((1, "a"), end=False, close=True)
         ]
-        caller = await run(relay, first, second)
+        caller = await relay_to(relay, first, second)
         assert caller.data == b"id: 1\ndata: a\n\n"
         assert not caller.complete
         assert len(first.heads) + len(second.heads) == 1
 
-    async def test_a_caller_that_leaves_stops_the_endpoints_work(self):
-        relay = relays.make_relay(relays.make_config(STREAM))
+    async def test_a_caller_that_leaves_cancels_the_endpoints_request(self):
+        relay = relays.make_relay(relays.make_config(STREAM_ROUTE))
 
         async def endless(head, writer):
             await relays.stream((1, "a"), end=False)(head, writer)
 
         endpoint = await relays.Endpoint(endless).start(relay)
         request = relays.make_request(relay)
-        to_caller = relays.Caller().deliver(relay, request)
+        to_caller = relays.RecordingCaller().deliver(relay, request)
         task = asyncio.ensure_future(
             relaying.relay_request(relay, request, to_caller)
         )
@@ -344,7 +348,7 @@
         endpoint.stop()
 
     async def test_a_stalled_stream_is_resumed_elsewhere(self):
-        relay = relays.make_relay(relays.make_config(STREAM))
+        relay = relays.make_relay(relays.make_config(STREAM_ROUTE))
 
         async def stalls(head, writer):
             await relays.stream((1, "a"), end=False)(head, writer)
@@ -353,18 +357,18 @@
         first = relays.Endpoint(name="e1")
         second = relays.Endpoint(name="e2")
         first.steps = second.steps = [stalls, relays.stream((2, "b"))]
-        caller = await run(relay, first, second)
+        caller = await relay_to(relay, first, second)
         assert caller.complete
         assert caller.data.endswith(b"id: 2\ndata: b\n\n")
 
 
 class TestLeavingEndpoints:
-    async def test_a_leaving_endpoint_gets_nothing_new(self):
+    async def test_a_leaving_endpoint_gets_no_new_requests(self):
         relay = relays.make_relay()
         relay.started_at -= 60
         leaving = relays.Endpoint(name="e1", state=directory.LEAVING)
         staying = relays.Endpoint(name="e2")
-        caller = await run(relay, leaving, staying)
+        caller = await relay_to(relay, leaving, staying)
         assert caller.status == 200
         assert not leaving.heads
 
@@ -373,19 +377,19 @@
         gone = await relays.Endpoint(name="e1").start(relay)
         gone.stop()
         await gone.server.wait_closed()
-        caller = await run(relay, relays.Endpoint(name="e2"))
+        caller = await relay_to(relay, relays.Endpoint(name="e2"))
         assert caller.status == 200
 
 
 class TestUsage:
     async def test_a_request_that_ran_counts_for_its_workspace(self):
         relay = relays.make_relay()
-        await run(relay, relays.Endpoint())
+        await relay_to(relay, relays.Endpoint())
         counts = list(relay.usage.counts.values())
         assert counts == [{"w": 1}]
 
-    async def test_one_that_did_not_run_does_not(self):
-        relay = relays.make_relay(relays.make_config(ONCE))
-        full = relays.answer(status="503 Full", extra=NOT_RUN)
-        await run(relay, relays.Endpoint(full))
+    async def test_a_request_that_did_not_run_is_not_counted(self):
+        relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
+        full = relays.answer(status="503 Full", extra=NOT_EXECUTED_HEADER)
+        await relay_to(relay, relays.Endpoint(full))
         assert not relay.usage.counts
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -21,13 +21,13 @@
         slots=slots,
         cache_tokens=cache_tokens,
     )
-    made = upstreams.Row(said=said, heard_at=0.0)
-    made.price = price
-    return made
+    new_row = upstreams.Row(said=said, heard_at=0.0)
+    new_row.price = price
+    return new_row
 
 
 class TestAnnouncements:
-    def test_good_one_is_completed(self):
+    def test_valid_announcement_is_returned_unchanged(self):
         raw = worlds.said("u", "model")
         assert announcements.check(raw) == raw
 
@@ -40,19 +40,19 @@
         assert key in bad.problems[0]
 
     @pytest.mark.parametrize("raw", [None, [], "x", 7, {}])
-    def test_anything_else_is_refused(self, raw):
+    def test_other_values_are_rejected(self, raw):
         bad = announcements.check(raw)
         assert isinstance(bad, announcements.BadAnnouncement)
 
 
 @pytest.fixture
 def table():
-    made = upstreams.Table()
-    upstreams.announce(made, worlds.said("u", "model"), heard_at=10.0)
-    return made
+    upstream_table = upstreams.Table()
+    upstreams.announce(upstream_table, worlds.said("u", "model"), heard_at=10.0)
+    return upstream_table
 
 
-class TestTable:
+class TestUpstreamTable:
     def test_identity_of_another_is_refused(self, table):
         other = worlds.said("u", "model", address="127.0.0.1:66", sequence=9)
         outcome = upstreams.announce(table, other, heard_at=10.1)
@@ -73,7 +73,7 @@
         )
         assert isinstance(outcome, upstreams.Refused)
 
-    def test_late_news_change_nothing(self, table):
+    def test_older_announcement_changes_nothing(self, table):
         newer = worlds.said("u", "model", sequence=5, running=3)
         upstreams.announce(table, newer, heard_at=11.0)
         older = worlds.said("u", "model", sequence=4, running=1)
@@ -89,7 +89,7 @@
         assert [g.row.said["id"] for g in gone] == ["u"]
         assert not table.rows
 
-    def test_leaving_upstream_gets_nothing_at_once(self, table):
+    def test_leaving_upstream_gets_no_new_requests(self, table):
         leaving = worlds.said(
             "u", "model", sequence=2, leaving=True, leave_in_s=3.0
         )
@@ -103,17 +103,17 @@
         assert upstreams.mark_leaving(table, {"i-u": 3.0}, 10.0) == []
         assert not upstreams.usable(table, "model", 10.0)
 
-    def test_load_is_the_report_and_what_was_sent_since(self, table):
-        one = table.rows["u"]
-        one.sent = 3
-        one.ended = 1
-        assert one.load == 2
+    def test_load_is_the_announced_one_plus_later_attempts(self, table):
+        known_row = table.rows["u"]
+        known_row.sent = 3
+        known_row.ended = 1
+        assert known_row.load == 2
         fresh = worlds.said("u", "model", sequence=2, running=2)
         upstreams.announce(table, fresh, heard_at=10.4)
-        assert one.load == 2
+        assert known_row.load == 2
 
 
-class TestPrefixes:
+class TestPrefixIndex:
     def test_shared_start_shares_hashes(self):
         a = prefixes.hash_blocks("x" * 1000 + "a" * 600)
         b = prefixes.hash_blocks("x" * 1000 + "b" * 600)
@@ -148,7 +148,7 @@
 
 
 class TestChoose:
-    def test_nothing_when_all_slots_are_taken(self):
+    def test_none_is_chosen_when_all_slots_are_taken(self):
         assert choose.choose([row("a", running=4)], features()) is None
 
     def test_warm_cache_is_preferred(self):
@@ -156,23 +156,23 @@
         rows[1].index.note(features().blocks)
         assert choose.choose(rows, features()) is rows[1]
 
-    def test_warm_but_crowded_is_left(self):
+    def test_overloaded_upstream_with_warm_cache_is_not_chosen(self):
         rows = [row("a", running=14, slots=16), row("b", slots=16)]
         short = features("y" * 300)
         rows[0].index.note(short.blocks)
         assert choose.choose(rows, short) is rows[1]
 
-    def test_entries_agree_without_talking(self):
+    def test_entries_choose_alike_without_communication(self):
         first = [row(name) for name in "abcde"]
         second = [row(name) for name in "edcba"]
         chosen = [choose.choose(r, features()) for r in (first, second)]
         assert chosen[0].said["id"] == chosen[1].said["id"]
 
-    def test_dear_instance_is_used_last(self):
+    def test_more_expensive_instance_is_used_last(self):
         rows = [row("a", price=3000), row("b", price=1000)]
         assert choose.choose(rows, features()) is rows[1]
 
-    def test_avoided_one_is_better_than_none(self):
+    def test_avoided_upstream_is_used_if_no_other_is_free(self):
         rows = [row("a"), row("b", running=4)]
         avoid = frozenset([rows[0].key])
         assert choose.choose(rows, features(), avoid=avoid) is rows[0]
@@ -189,7 +189,7 @@
             assert chosen.load < 4
 
 
-def moving(share):
+def make_view(share):
     return {
         "versions": {"model": "v1"},
         "live": {
@@ -203,74 +203,78 @@
     }
 
 
-class TestVersions:
+class TestVersionShares:
     def test_without_a_move_all_go_to_the_version_in_use(self):
         view = {"versions": {"model": "v1"}, "live": {}}
         assert versions.pick(view, "model", "chat", "r") == ("v1", "")
 
     def test_share_is_kept(self):
         picks = [
-            versions.pick(moving(100), "model", "chat", f"r{i}")[0]
+            versions.pick(make_view(100), "model", "chat", f"r{i}")[0]
             for i in range(5000)
         ]
         assert 400 < picks.count("v2") < 600
 
-    def test_request_keeps_its_side_as_the_share_grows(self):
+    def test_request_keeps_its_version_as_the_share_grows(self):
         for i in range(300):
             name = f"r{i}"
-            if versions.pick(moving(50), "model", "chat", name)[0] == "v2":
-                later = versions.pick(moving(500), "model", "chat", name)
+            if versions.pick(make_view(50), "model", "chat", name)[0] == "v2":
+                later = versions.pick(make_view(500), "model", "chat", name)
                 assert later[0] == "v2"
 
-    def test_new_falls_back_to_old_and_never_the_other_way(self):
-        assert versions.pick(moving(1000), "model", "chat", "r") == (
+    def test_only_the_new_version_has_a_fallback(self):
+        assert versions.pick(make_view(1000), "model", "chat", "r") == (
             "v2",
             "v1",
         )
-        assert versions.pick(moving(0), "model", "chat", "r") == ("v1", "")
+        assert versions.pick(make_view(0), "model", "chat", "r") == ("v1", "")
 
 
-SIDE = evidence.Side("model", "v2", "chat")
-OLD = evidence.Side("model", "v1", "chat")
+NEW_VERSION = evidence.Side("model", "v2", "chat")
+OLD_VERSION = evidence.Side("model", "v1", "chat")
 
 
-def note(made, side, failed, latency=0.1):
-    return made.note(
+def record_outcome(outcomes, side, failed, latency=0.1):
+    return outcomes.note(
         side,
         failed=failed,
         latency_s=latency,
-        baseline=OLD,
-        on_trial=side == SIDE,
+        baseline=OLD_VERSION,
+        on_trial=side == NEW_VERSION,
     )
 
 
-class TestEvidence:
-    def test_failing_version_is_cut_off_at_the_third(self):
-        made = evidence.Evidence()
-        cuts = [note(made, SIDE, True) for _ in range(4)]
+class TestVersionOutcomes:
+    def test_failing_version_is_cut_off_at_the_third_error(self):
+        outcomes = evidence.Evidence()
+        cuts = [record_outcome(outcomes, NEW_VERSION, True) for _ in range(4)]
         assert cuts == [False, False, True, False]
-        assert SIDE in made.cut
+        assert NEW_VERSION in outcomes.cut
 
     def test_old_version_is_never_cut(self):
-        made = evidence.Evidence()
-        assert not any(note(made, OLD, True) for _ in range(20))
+        outcomes = evidence.Evidence()
+        assert not any(
+            record_outcome(outcomes, OLD_VERSION, True) for _ in range(20)
+        )
 
-    def test_shared_incident_is_not_the_new_versions_fault(self):
-        made = evidence.Evidence()
+    def test_errors_of_both_versions_cause_no_cut_off(self):
+        outcomes = evidence.Evidence()
         for _ in range(30):
-            note(made, OLD, True)
-        assert not any(note(made, SIDE, True) for _ in range(4))
+            record_outcome(outcomes, OLD_VERSION, True)
+        assert not any(
+            record_outcome(outcomes, NEW_VERSION, True) for _ in range(4)
+        )
 
     def test_slow_is_measured_against_the_old_version(self):
-        made = evidence.Evidence()
+        outcomes = evidence.Evidence()
         for _ in range(40):
-            note(made, OLD, False, 0.1)
-        note(made, SIDE, False, 0.15)
-        note(made, SIDE, False, 0.5)
-        assert made.counts_for(SIDE).slow == 1
-        assert made.counts_for(SIDE).timed == 2
-
-    def test_without_a_baseline_nothing_counts_as_quick(self):
-        made = evidence.Evidence()
-        note(made, SIDE, False, 9.0)
-        assert made.counts_for(SIDE).timed == 0
+            record_outcome(outcomes, OLD_VERSION, False, 0.1)
+        record_outcome(outcomes, NEW_VERSION, False, 0.15)
+        record_outcome(outcomes, NEW_VERSION, False, 0.5)
+        assert outcomes.counts_for(NEW_VERSION).slow == 1
+        assert outcomes.counts_for(NEW_VERSION).timed == 2
+
+    def test_without_a_baseline_latencies_are_not_compared(self):
+        outcomes = evidence.Evidence()
+        record_outcome(outcomes, NEW_VERSION, False, 9.0)
+        assert outcomes.counts_for(NEW_VERSION).timed == 0
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -13,7 +13,7 @@
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 
-class Clock:
+class FakeClock:
     def __init__(self):
         self.time = 1000.0
 
@@ -23,7 +23,7 @@
 
 def make_watcher():
     relay = relays.make_relay()
-    relay.now = Clock()
+    relay.now = FakeClock()
     relay.started_at = relay.now()
     watcher = watching.Watcher(relay=relay, seeds=[], listens_on="127.0.0.1:1")
     feed = watching.ControlFeed(address="127.0.0.1:2", now=relay.now())
@@ -31,7 +31,7 @@
     return watcher, feed
 
 
-def news(**changes):
+def make_reply(**changes):
     values = {
         "endpoints": [],
         "members": [],
@@ -50,10 +50,10 @@
 
 
 class TestWithoutControl:
-    def test_known_endpoints_stay_while_nobody_answers(self):
+    def test_known_endpoints_are_kept_while_control_is_lost(self):
         watcher, feed = make_watcher()
         watcher._apply_reply(
-            feed, news(endpoints=[test_crashes.make_endpoint("a")])
+            feed, make_reply(endpoints=[test_crashes.make_endpoint("a")])
         )
         feed.answered = False
         for _ in range(200):
@@ -62,26 +62,26 @@
             watcher.tick()
         assert "a" in watcher.relay.directory.rows
 
-    def test_they_get_time_to_be_heard_when_control_is_back(self):
+    def test_endpoints_expire_only_some_time_after_control_is_back(self):
         watcher, feed = make_watcher()
         watcher._apply_reply(
-            feed, news(endpoints=[test_crashes.make_endpoint("a")])
+            feed, make_reply(endpoints=[test_crashes.make_endpoint("a")])
         )
         feed.answered = False
         watcher.relay.now.time += 100
         feed.heard_at = watcher.relay.now()
         watcher.tick()
-        watcher._apply_reply(feed, news())
+        watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" in watcher.relay.directory.rows
         watcher.relay.now.time += watching.ENDPOINT_EXPIRY_S + 1
-        watcher._apply_reply(feed, news())
+        watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" not in watcher.relay.directory.rows
 
 
-class TestLearning:
-    async def test_the_longest_wait_does_not_begin_anew_with_each_news(self):
+class TestStartupWait:
+    async def test_the_longest_wait_does_not_restart_with_each_update(self):
         watcher, _ = make_watcher()
         relay = watcher.relay
         waiting = asyncio.ensure_future(relay.learn(lambda: False))
@@ -95,33 +95,37 @@
         assert waiting.result() is False
 
 
-class TestNews:
-    def test_an_older_configuration_is_not_taken(self):
+class TestReplies:
+    def test_an_older_configuration_is_not_applied(self):
         watcher, feed = make_watcher()
         before = watcher.relay.table
         config = json.loads(json.dumps(relays.make_config(version=1)._asdict()))
         watcher._apply_fetched_routes(config, "test")
-        watcher._apply_reply(feed, news(routes_version=1))
+        watcher._apply_reply(feed, make_reply(routes_version=1))
         assert watcher.relay.table is before
         assert watcher.fetch_task is None
 
-    async def test_a_newer_configuration_is_fetched_and_not_told_again(self):
+    async def test_a_newer_configuration_is_fetched_and_not_requested_again(
+        self,
+    ):
         watcher, feed = make_watcher()
-        watcher._apply_reply(feed, news(routes_version=5))
+        watcher._apply_reply(feed, make_reply(routes_version=5))
         assert not watcher.fetch_task.done()
         assert watcher._make_watch(feed).routes_version == 5
         watcher.fetch_task.cancel()
 
-    def test_own_loads_are_taken_out_of_the_sums(self):
+    def test_own_loads_are_subtracted_from_the_totals(self):
         watcher, feed = make_watcher()
         watcher.relay.add_load("a", 2, 100)
         watcher._make_watch(feed)
-        watcher._apply_reply(feed, news(loads={"a": [5, 150], "b": [1, 0]}))
+        watcher._apply_reply(
+            feed, make_reply(loads={"a": [5, 150], "b": [1, 0]})
+        )
         assert watcher.relay.other_loads == {"a": (3, 50), "b": (1, 0)}
 
     def test_a_leaving_endpoint_is_not_ready_at_once(self):
         watcher, feed = make_watcher()
         leaving = test_crashes.make_endpoint("a", state=directory.LEAVING)
-        watcher._apply_reply(feed, news(endpoints=[leaving]))
+        watcher._apply_reply(feed, make_reply(endpoints=[leaving]))
         row = watcher.relay.directory.rows["a"]
         assert row.endpoint.state == directory.LEAVING
