--- a/src/_arbutuswalk/relay/placement.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -7,7 +7,7 @@
 from _arbutuswalk.relay import core
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.routing import directory
-from _arbutuswalk.routing import endpoints
+from _arbutuswalk.routing import selection
 
 SUSPECT_DURATION_S = 1.5
 """Time for which an endpoint is used last after a failure: longer than it takes
@@ -42,7 +42,7 @@
     outliers = relay.outlier_detector.doubtful(
         [row.endpoint.id for row in eligible], now
     )
-    choice = endpoints.choose(
+    choice = selection.choose(
         [_make_candidate(relay, row, now, outliers) for row in eligible],
         prompt_profile,
         relay.recent_parts.holders(_last_shared_part(prompt_profile), now),
@@ -71,7 +71,7 @@
 
 def _make_candidate(
     relay: core.Relay, row: directory.Row, now: float, outliers: set[str]
-) -> endpoints.Candidate:
+) -> selection.Candidate:
     endpoint_id = row.endpoint.id
     own_load, other_load = (
         relay.loads.get(endpoint_id),
@@ -80,7 +80,7 @@
     running, waiting_tokens = own_load or (0, 0)
     silent_s = MAX_HEARTBEAT_INTERVALS * relay.options.heartbeat_s
     doubtful = now - row.heard_at > silent_s or endpoint_id in outliers
-    return endpoints.Candidate(
+    return selection.Candidate(
         id=endpoint_id,
         running=running + other_load[0],
         waiting_tokens=waiting_tokens + other_load[1],
@@ -90,7 +90,9 @@
     )
 
 
-def _prompt_profile(request: requests.Request) -> endpoints.Work | None:
+def _prompt_profile(
+    request: requests.Request,
+) -> selection.PromptProfile | None:
     """Returns the prompt of a model request, None for other requests.
 
     The last part is unique to the request, unless it is the only one.
@@ -99,10 +101,10 @@
         return None
     parts = request.prompt.parts
     shared_parts = parts[:-1] or parts
-    return endpoints.Work(request.prompt.tokens_in, shared_parts)
+    return selection.PromptProfile(request.prompt.tokens_in, shared_parts)
 
 
-def _last_shared_part(prompt_profile: endpoints.Work | None) -> str:
+def _last_shared_part(prompt_profile: selection.PromptProfile | None) -> str:
     return (
         prompt_profile.parts[-1][0]
         if prompt_profile is not None and prompt_profile.parts
--- a/src/_arbutuswalk/routing/endpoints.py
+++ b/src/_arbutuswalk/routing/selection.py
@@ -47,7 +47,7 @@
     doubtful: bool
 
 
-class Work(NamedTuple):
+class PromptProfile(NamedTuple):
     """Size and shared parts of a model request's prompt.
 
     Attributes:
@@ -69,7 +69,7 @@
 
 def choose(
     candidates: Sequence[Candidate],
-    work: Work | None,
+    prompt_profile: PromptProfile | None,
     recent_holders: Collection[str],
     draws: tuple[float, float],
 ) -> Choice | None:
@@ -77,7 +77,7 @@
 
     Args:
         candidates: Endpoints eligible for the request.
-        work: Prompt of a model request, None for other requests.
+        prompt_profile: Prompt of a model request, None for other requests.
         recent_holders: Endpoints that recently received the last shared part.
         draws: Random numbers in [0, 1).
     """
@@ -85,9 +85,9 @@
     usable = healthy or list(candidates)
     if not usable:
         return None
-    if work is None:
+    if prompt_profile is None:
         return Choice(_least_loaded(usable, draws[0]).id, 0)
-    return _shortest_delay(usable, work, recent_holders, draws)
+    return _shortest_delay(usable, prompt_profile, recent_holders, draws)
 
 
 def _least_loaded(usable: list[Candidate], draw: float) -> Candidate:
@@ -106,11 +106,11 @@
 
 def _shortest_delay(
     usable: list[Candidate],
-    work: Work,
+    prompt_profile: PromptProfile,
     recent_holders: Collection[str],
     draws: tuple[float, float],
 ) -> Choice:
-    affinity_key = work.parts[-1][0] if work.parts else ""
+    affinity_key = prompt_profile.parts[-1][0] if prompt_profile.parts else ""
     ranked = sorted(
         usable,
         key=lambda candidate: _rendezvous_hash(affinity_key, candidate.id),
@@ -131,7 +131,9 @@
         (_delay_tokens(candidate, tokens), rank, Choice(candidate.id, tokens))
         for rank, candidate in enumerate(considered)
         for tokens in [
-            _uncached_tokens(work, rank, candidate.id in recent_holders)
+            _uncached_tokens(
+                prompt_profile, rank, candidate.id in recent_holders
+            )
         ]
     ]
     return min(ranked_choices)[2]
@@ -148,15 +150,21 @@
     return candidate.waiting_tokens + tokens + running_tokens + queued_tokens
 
 
-def _uncached_tokens(work: Work, rank: int, recently_sent: bool) -> int:
+def _uncached_tokens(
+    prompt_profile: PromptProfile, rank: int, recently_sent: bool
+) -> int:
     """Returns the number of prompt tokens that are probably not cached.
 
     The last shared part is assumed to be cached at the highest-ranked endpoint
     and at those that recently received it; more widely shared parts are assumed
     to be cached at every endpoint.
     """
-    parts = work.parts if rank == 0 or recently_sent else work.parts[:-1]
-    return max(0, work.tokens - sum(tokens for _, tokens in parts))
+    parts = (
+        prompt_profile.parts
+        if rank == 0 or recently_sent
+        else prompt_profile.parts[:-1]
+    )
+    return max(0, prompt_profile.tokens - sum(tokens for _, tokens in parts))
 
 
 def _rendezvous_hash(affinity_key: str, endpoint: str) -> bytes:
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -6,9 +6,9 @@
 import relays
 
 from _arbutuswalk.relay import results
-from _arbutuswalk.routing import endpoints
 from _arbutuswalk.routing import health
 from _arbutuswalk.routing import recent
+from _arbutuswalk.routing import selection
 from _arbutuswalk.state import evidence
 from _arbutuswalk.state import fleetplan
 from _arbutuswalk.state import rolloutplan
@@ -30,16 +30,16 @@
         "doubtful": False,
     }
     return [
-        endpoints.Candidate(id=f"e{i}", **{**values, **changes})
+        selection.Candidate(id=f"e{i}", **{**values, **changes})
         for i in range(count)
     ]
 
 
 class TestPlacing:
     def test_requests_that_share_parts_meet(self):
-        work = endpoints.Work(5000, (("wide", 2000), ("narrow", 2500)))
+        work = selection.PromptProfile(5000, (("wide", 2000), ("narrow", 2500)))
         chosen = {
-            endpoints.choose(
+            selection.choose(
                 make_candidates(9), work, (), (draw, 1 - draw - 0.01)
             ).id
             for draw in (0.0, 0.3, 0.6, 0.9)
@@ -47,24 +47,24 @@
         assert len(chosen) == 1
 
     def test_a_crowded_endpoint_is_left(self):
-        work = endpoints.Work(5000, (("wide", 2000), ("narrow", 2500)))
+        work = selection.PromptProfile(5000, (("wide", 2000), ("narrow", 2500)))
         candidates = make_candidates(9)
-        first = endpoints.choose(candidates, work, (), (0.1, 0.9))
+        first = selection.choose(candidates, work, (), (0.1, 0.9))
         assert first.tokens == 500
         crowded = [
             each._replace(waiting_tokens=20_000 * (each.id == first.id))
             for each in candidates
         ]
-        second = endpoints.choose(crowded, work, (), (0.1, 0.9))
+        second = selection.choose(crowded, work, (), (0.1, 0.9))
         assert second.id != first.id
         assert second.tokens == 3000
 
     def test_one_that_got_the_part_lately_need_not_read_it_again(self):
-        work = endpoints.Work(5000, (("narrow", 4500),))
+        work = selection.PromptProfile(5000, (("narrow", 4500),))
         candidates = make_candidates(3)
-        first = endpoints.choose(candidates, work, (), (0.1, 0.9))
+        first = selection.choose(candidates, work, (), (0.1, 0.9))
         others = [each for each in candidates if each.id != first.id]
-        held = endpoints.choose(others, work, {others[1].id}, (0.1, 0.9))
+        held = selection.choose(others, work, {others[1].id}, (0.1, 0.9))
         assert held.tokens == 500
 
     def test_doubtful_endpoints_come_last(self):
@@ -72,22 +72,22 @@
         doubtful = doubtful._replace(doubtful=True)
         good = good._replace(running=50)
         for draw in (0.0, 0.5, 0.99):
-            found = endpoints.choose([doubtful, good], None, (), (draw, draw))
+            found = selection.choose([doubtful, good], None, (), (draw, draw))
             assert found.id == good.id
-        assert endpoints.choose([doubtful], None, (), (0.1, 0.1))
-        assert endpoints.choose([], None, (), (0.1, 0.1)) is None
+        assert selection.choose([doubtful], None, (), (0.1, 0.1))
+        assert selection.choose([], None, (), (0.1, 0.1)) is None
 
     def test_plain_requests_go_where_the_fewest_wait(self):
         candidates = [
             each._replace(running=running, slots=6)
             for each, running in zip(make_candidates(3), (4, 1, 3), strict=True)
         ]
-        assert endpoints.choose(candidates, None, (), (0.5, 0.5)).id == "e1"
+        assert selection.choose(candidates, None, (), (0.5, 0.5)).id == "e1"
 
     def test_a_hot_part_is_spread_over_more_endpoints(self):
         """Every request shares one part; ours beside always-the-first."""
         rng = random.Random(7)
-        work = endpoints.Work(4000, (("hot", 3000),))
+        work = selection.PromptProfile(4000, (("hot", 3000),))
         loads = {f"e{i}": 0 for i in range(9)}
         for _ in range(200):
             candidates = [
@@ -95,7 +95,7 @@
                 for each in make_candidates(9)
             ]
             draws = (rng.random(), rng.random())
-            chosen = endpoints.choose(candidates, work, (), draws)
+            chosen = selection.choose(candidates, work, (), draws)
             loads[chosen.id] += chosen.tokens
         mean = sum(loads.values()) / len(loads)
         assert max(loads.values()) < 2.5 * mean
