--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -277,7 +277,7 @@
             and result.status < results.MIN_FAILURE_STATUS
         )
         outcomes.failed += not succeeded
-        self.relay.outlier_detector.note(
+        self.relay.outlier_detector.record(
             self.endpoint.id, failed=not succeeded, now=self.relay.now()
         )
         if succeeded:
--- a/src/_arbutuswalk/relay/core.py
+++ b/src/_arbutuswalk/relay/core.py
@@ -14,7 +14,7 @@
 from _arbutuswalk.relay import usage
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import directory
-from _arbutuswalk.routing import health
+from _arbutuswalk.routing import outliers
 from _arbutuswalk.routing import recent
 from _arbutuswalk.routing import routetable
 from _arbutuswalk.streams import pool
@@ -144,7 +144,7 @@
         self.recent_parts = recent.Recent()
         self.lateness = lateness.LatenessTracker()
         self.crashes = crashes.CrashTracker()
-        self.outlier_detector = health.Health()
+        self.outlier_detector = outliers.OutlierDetector()
         self.refused_fingerprints: frozenset[str] = frozenset()
         self.suspect_until: dict[str, float] = {}
         self.retry_windows: dict[str, retries.RetryWindow] = {}
--- a/src/_arbutuswalk/relay/placement.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -39,7 +39,7 @@
     ]
     eligible = _filter_by_version(relay, request, rows)
     prompt_profile = _prompt_profile(request)
-    outliers = relay.outlier_detector.doubtful(
+    outliers = relay.outlier_detector.outliers(
         [row.endpoint.id for row in eligible], now
     )
     choice = selection.choose(
--- a/src/_arbutuswalk/routing/health.py
+++ b/src/_arbutuswalk/routing/outliers.py
@@ -28,7 +28,7 @@
     updated_at: float
 
 
-class Health:
+class OutlierDetector:
     """Failure rates of endpoints, from the answers seen by this entry.
 
     Attributes:
@@ -38,20 +38,20 @@
     def __init__(self):
         self.failure_rates: dict[str, FailureRate] = {}
 
-    def note(self, endpoint: str, *, failed: bool, now: float) -> None:
+    def record(self, endpoint_id: str, *, failed: bool, now: float) -> None:
         """Records the outcome of one request."""
-        previous_rate = self.failure_rate(endpoint, now)
+        previous_rate = self.failure_rate(endpoint_id, now)
         new_rate = previous_rate + OUTCOME_WEIGHT * (failed - previous_rate)
-        self.failure_rates[endpoint] = FailureRate(new_rate, now)
+        self.failure_rates[endpoint_id] = FailureRate(new_rate, now)
 
-    def failure_rate(self, endpoint: str, now: float) -> float:
+    def failure_rate(self, endpoint_id: str, now: float) -> float:
         """Returns the failure rate, decayed to ``now``."""
-        last = self.failure_rates.get(endpoint)
+        last = self.failure_rates.get(endpoint_id)
         if last is None:
             return 0.0
         return last.rate * math.exp(-(now - last.updated_at) / DECAY_TIME_S)
 
-    def doubtful(self, endpoints: list[str], now: float) -> set[str]:
+    def outliers(self, endpoints: list[str], now: float) -> set[str]:
         """Returns the outliers among the endpoints of one upstream."""
         rates = {
             endpoint_id: self.failure_rate(endpoint_id, now)
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -6,7 +6,7 @@
 import relays
 
 from _arbutuswalk.relay import results
-from _arbutuswalk.routing import health
+from _arbutuswalk.routing import outliers
 from _arbutuswalk.routing import recent
 from _arbutuswalk.routing import selection
 from _arbutuswalk.state import evidence
@@ -111,17 +111,17 @@
     def play(self, rates, seed, requests=400):
         """Sends requests where nothing doubtful is; returns the failures."""
         rng = random.Random(seed)
-        known = health.Health()
+        known = outliers.OutlierDetector()
         names = sorted(rates)
         failed = 0
         for number in range(requests):
             now = number * 0.05
-            doubtful = known.doubtful(names, now)
+            doubtful = known.outliers(names, now)
             usable = [n for n in names if n not in doubtful] or names
             name = rng.choice(usable)
             fails = rng.random() < rates[name]
             failed += fails
-            known.note(name, failed=fails, now=now)
+            known.record(name, failed=fails, now=now)
         return failed / requests
 
     @pytest.mark.parametrize("seed", range(5))
@@ -132,21 +132,21 @@
     @pytest.mark.parametrize("seed", range(5))
     def test_failures_that_all_share_make_none_doubtful_for_long(self, seed):
         rng = random.Random(seed)
-        known = health.Health()
+        known = outliers.OutlierDetector()
         doubted = 0
         for number in range(600):
             now = number * 0.05
             name = rng.choice("abc")
-            known.note(name, failed=rng.random() < 0.14, now=now)
-            doubted += len(known.doubtful(["a", "b", "c"], now))
+            known.record(name, failed=rng.random() < 0.14, now=now)
+            doubted += len(known.outliers(["a", "b", "c"], now))
         assert doubted / 600 < 0.5
 
     def test_what_is_known_fades(self):
-        known = health.Health()
+        known = outliers.OutlierDetector()
         for _ in range(20):
-            known.note("a", failed=True, now=0.0)
-        assert known.doubtful(["a", "b"], 1.0) == {"a"}
-        assert known.doubtful(["a", "b"], 10.0) == set()
+            known.record("a", failed=True, now=0.0)
+        assert known.outliers(["a", "b"], 1.0) == {"a"}
+        assert known.outliers(["a", "b"], 10.0) == set()
 
 
 class FleetWorld:
