--- a/src/_arbutuswalk/relay/core.py
+++ b/src/_arbutuswalk/relay/core.py
@@ -15,7 +15,7 @@
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import directory
 from _arbutuswalk.routing import outliers
-from _arbutuswalk.routing import recent
+from _arbutuswalk.routing import recent_parts
 from _arbutuswalk.routing import routetable
 from _arbutuswalk.streams import pool
 
@@ -141,7 +141,7 @@
         self.directory = directory.Directory()
         self.loads: dict[str, Load] = {}
         self.other_loads: dict[str, Load] = {}
-        self.recent_parts = recent.Recent()
+        self.recent_parts = recent_parts.RecentParts()
         self.lateness = lateness.LatenessTracker()
         self.crashes = crashes.CrashTracker()
         self.outlier_detector = outliers.OutlierDetector()
--- a/src/_arbutuswalk/relay/placement.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -45,7 +45,9 @@
     choice = selection.choose(
         [_make_candidate(relay, row, now, outliers) for row in eligible],
         prompt_profile,
-        relay.recent_parts.holders(_last_shared_part(prompt_profile), now),
+        relay.recent_parts.endpoints_holding(
+            _last_shared_part(prompt_profile), now
+        ),
         (relay.rng.random(), relay.rng.random()),
     )
     if choice is None:
@@ -59,7 +61,7 @@
     """Records that the request's shared parts are sent to an endpoint."""
     part = _last_shared_part(_prompt_profile(request))
     if part:
-        relay.recent_parts.note(part, endpoint, relay.now())
+        relay.recent_parts.record(part, endpoint, relay.now())
 
 
 def mark_suspect(relay: core.Relay, endpoint: str, reason: str) -> None:
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -7,7 +7,7 @@
 
 from _arbutuswalk.relay import results
 from _arbutuswalk.routing import outliers
-from _arbutuswalk.routing import recent
+from _arbutuswalk.routing import recent_parts
 from _arbutuswalk.routing import selection
 from _arbutuswalk.state import evidence
 from _arbutuswalk.state import fleetplan
@@ -101,10 +101,15 @@
         assert max(loads.values()) < 2.5 * mean
 
     def test_what_was_sent_long_ago_is_forgotten(self):
-        found = recent.Recent()
-        found.note("p", "e1", 0.0)
-        assert found.holders("p", recent.KEPT_S) == {"e1"}
-        assert found.holders("p", recent.KEPT_S + 0.1) == set()
+        found = recent_parts.RecentParts()
+        found.record("p", "e1", 0.0)
+        assert found.endpoints_holding("p", recent_parts.PART_RETENTION_S) == {
+            "e1"
+        }
+        assert (
+            found.endpoints_holding("p", recent_parts.PART_RETENTION_S + 0.1)
+            == set()
+        )
 
 
 class TestHealth:
