--- a/bench/moves.py
+++ b/bench/moves.py
@@ -7,7 +7,7 @@
 import copy
 import random
 
-from _arbutuswalk.routing import evidence
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.state import machine
@@ -140,7 +140,7 @@
 
     commit(commands.Apply("a", "x", 0, inventory("v1")))
     commit(commands.Apply("b", "x", 1, inventory("v2")))
-    entries = [evidence.Evidence() for _ in range(7)]
+    entries = [version_outcomes.VersionOutcomes() for _ in range(7)]
     rate = 3.0 if case == "good, quiet" else RATE
     bad = traffic = new_bad_after = 0
     shown_at = None
@@ -157,10 +157,10 @@
             route = rng.choice(("chat", "completions"))
             share = row.shares[route]
             entry = rng.choice(entries)
-            side = evidence.Side("model", "v2", route)
-            old = evidence.Side("model", "v1", route)
+            side = version_outcomes.OutcomeKey("model", "v2", route)
+            old = version_outcomes.OutcomeKey("model", "v1", route)
             new = rng.random() * 1000 < share
-            if new and local_cut and side in entry.cut:
+            if new and local_cut and side in entry.cut_off:
                 new = False
             error, slow = BASE_ERROR, BASE_SLOW
             if case == "good, shared incident" and 40 < elapsed_s < 70:
@@ -174,12 +174,12 @@
                 bad += 1
                 shown_at = elapsed_s if shown_at is None else shown_at
                 new_bad_after += elapsed_s > shown_at + 5
-            entry.note(
+            entry.record(
                 side if new else old,
                 failed=failed,
                 latency_s=1.0 if late else 0.1,
                 baseline=old if new else None,
-                on_trial=new,
+                is_new_version=new,
             )
         reports = {
             str(i): {
--- a/src/_arbutuswalk/entry/core.py
+++ b/src/_arbutuswalk/entry/core.py
@@ -12,8 +12,8 @@
 from _arbutuswalk.entry import requests
 from _arbutuswalk.limits import budget
 from _arbutuswalk.limits import fair
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import attempts
 from _arbutuswalk.streams import pool
@@ -40,7 +40,7 @@
         upstreams: Upstreams that announced themselves.
         queues: Waiting tickets by upstream name.
         budgets: Retry budget by upstream name.
-        evidence: Outcomes by upstream, version and route.
+        version_outcomes: Outcomes by upstream, version and route.
         requests: Model requests by id, kept while they can be resumed.
         by_key: Request id by (workspace, idempotency key).
         calls: Futures of non-repeatable calls that run here, by (workspace,
@@ -89,7 +89,7 @@
         self.upstreams = upstreams.Table()
         self.queues: dict[str, fair.FairQueue] = {}
         self.budgets: dict[str, budget.Budget] = {}
-        self.evidence = evidence.Evidence()
+        self.evidence = version_outcomes.VersionOutcomes()
         self.requests: dict[str, requests.ModelRequest] = {}
         self.by_key: dict[tuple[str, str], str] = {}
         self.calls: dict[tuple[str, str], Any] = {}
--- a/src/_arbutuswalk/entry/links.py
+++ b/src/_arbutuswalk/entry/links.py
@@ -104,7 +104,7 @@
         "copies": len(entry.copies),
         "waiting": {name: len(q) for name, q in entry.queues.items()},
         "evidence": entry.evidence.report(),
-        "cut": ["|".join(side) for side in entry.evidence.cut],
+        "cut": ["|".join(side) for side in entry.evidence.cut_off],
         "counters": {
             f"{name}{{{labels}}}": count
             for (name, labels), count in entry.metrics.counters.items()
--- a/src/_arbutuswalk/entry/placing.py
+++ b/src/_arbutuswalk/entry/placing.py
@@ -7,8 +7,8 @@
 from _arbutuswalk.entry import requests
 from _arbutuswalk.limits import fair
 from _arbutuswalk.routing import choose
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.routing import versions
 from _arbutuswalk.streams import answer
 
@@ -35,7 +35,10 @@
     """Returns the upstreams that may run a request, by its version."""
     rows = upstreams.usable(entry.upstreams, name, entry.now())
     wanted, fallback = versions.pick(entry.moves, name, route, request_id)
-    cut = evidence.Side(name, wanted, route) in entry.evidence.cut
+    cut = (
+        version_outcomes.OutcomeKey(name, wanted, route)
+        in entry.evidence.cut_off
+    )
     if not cut:
         chosen = [row for row in rows if row.said["version"] == wanted]
         if chosen or not fallback:
--- a/src/_arbutuswalk/entry/running.py
+++ b/src/_arbutuswalk/entry/running.py
@@ -10,8 +10,8 @@
 from _arbutuswalk.entry import suspicion
 from _arbutuswalk.entry import transfers
 from _arbutuswalk.limits import fair
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.routing import versions
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import attempts
@@ -298,14 +298,14 @@
         entry.moves, request.upstream, request.route, request.request_id
     )
     version = row.said["version"]
-    side = evidence.Side(request.upstream, version, request.route)
-    baseline = evidence.Side(request.upstream, old, request.route)
-    cut = entry.evidence.note(
+    side = version_outcomes.OutcomeKey(request.upstream, version, request.route)
+    baseline = version_outcomes.OutcomeKey(request.upstream, old, request.route)
+    cut = entry.evidence.record(
         side,
         failed=not isinstance(result, attempts.Completed),
         latency_s=first_token[0] if first_token else 0.0,
         baseline=baseline if old else None,
-        on_trial=bool(old) and version == wanted,
+        is_new_version=bool(old) and version == wanted,
     )
     if cut:
         events.warn(events.Event.VERSION_CUT_OFF, *side)
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -15,8 +15,8 @@
 from _arbutuswalk.entry import placing
 from _arbutuswalk.entry import requests
 from _arbutuswalk.routing import choose
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.routing import versions
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
@@ -281,12 +281,12 @@
     wanted, old = versions.pick(entry.moves, name, route, call.call_id)
     version = row.said["version"]
     ok = isinstance(result, exchange.Reply) and result.status < 500
-    entry.evidence.note(
-        evidence.Side(name, version, route),
+    entry.evidence.record(
+        version_outcomes.OutcomeKey(name, version, route),
         failed=not ok,
         latency_s=latency_s,
-        baseline=evidence.Side(name, old, route) if old else None,
-        on_trial=bool(old) and version == wanted,
+        baseline=version_outcomes.OutcomeKey(name, old, route) if old else None,
+        is_new_version=bool(old) and version == wanted,
     )
     labels = f'upstream="{name}",version="{version}"'
     entry.metrics.record("service", labels, latency_s)
--- a/src/_arbutuswalk/entry/syncing.py
+++ b/src/_arbutuswalk/entry/syncing.py
@@ -107,9 +107,9 @@
         (move["upstream"], move["new"])
         for move in entry.moves.get("live", {}).values()
     }
-    entry.evidence.cut = {
+    entry.evidence.cut_off = {
         side
-        for side in entry.evidence.cut
+        for side in entry.evidence.cut_off
         if (side.upstream, side.version) in live
     }
 
@@ -133,7 +133,7 @@
     return {
         "upstreams": known,
         "evidence": entry.evidence.report(),
-        "cut": ["|".join(side) for side in entry.evidence.cut],
+        "cut": ["|".join(side) for side in entry.evidence.cut_off],
         "active": suspicion.occupied(entry),
         "usage": entry.usage,
         "waiting": {name: len(q) for name, q in entry.queues.items() if q},
--- a/src/_arbutuswalk/routing/evidence.py
+++ b/src/_arbutuswalk/routing/version_outcomes.py
@@ -13,7 +13,7 @@
 cut off."""
 
 
-class Side(NamedTuple):
+class OutcomeKey(NamedTuple):
     """Upstream, version and route to which an outcome belongs."""
 
     upstream: str
@@ -21,7 +21,7 @@
     route: str
 
 
-class Counts:
+class OutcomeCounts:
     """Outcome counts of one version on one route since the entry started.
 
     Attributes:
@@ -42,59 +42,61 @@
         )
 
 
-class Evidence:
+class VersionOutcomes:
     """Outcomes and latencies recorded by one entry.
 
     Attributes:
         counts: Outcome counts by key.
         latencies: Newest latencies in seconds, by key.
-        cut: Keys to which this entry sends no more requests.
+        cut_off: Keys to which this entry sends no more requests.
     """
 
     def __init__(self):
-        self.counts: dict[Side, Counts] = {}
-        self.latencies: dict[Side, collections.deque[float]] = {}
-        self.cut: set[Side] = set()
+        self.counts: dict[OutcomeKey, OutcomeCounts] = {}
+        self.latencies: dict[OutcomeKey, collections.deque[float]] = {}
+        self.cut_off: set[OutcomeKey] = set()
 
-    def counts_for(self, side: Side) -> Counts:
+    def counts_for(self, key: OutcomeKey) -> OutcomeCounts:
         """Returns the outcome counts of a key, creating them if needed."""
-        return self.counts.setdefault(side, Counts())
+        return self.counts.setdefault(key, OutcomeCounts())
 
-    def note(
+    def record(
         self,
-        side: Side,
+        key: OutcomeKey,
         *,
         failed: bool,
         latency_s: float,
-        baseline: Side | None,
-        on_trial: bool,
+        baseline: OutcomeKey | None,
+        is_new_version: bool,
     ) -> bool:
         """Records one outcome; returns whether it caused a cut-off.
 
         Args:
-            side: Version that ran the request, and its route.
+            key: Version that ran the request, and its route.
             failed: Whether it failed because of the version.
             latency_s: First-token or total latency, in seconds.
             baseline: Key to compare errors and latencies with.
-            on_trial: Whether this is the new version of a move.
+            is_new_version: Whether this is the new version of a move.
         """
-        counts = self.counts_for(side)
+        counts = self.counts_for(key)
         counts.ran += 1
         counts.errors += failed
         counts.recent.append(failed)
         if not failed:
-            self._compare_latency(counts, baseline or side, latency_s)
+            self._compare_latency(counts, baseline or key, latency_s)
             samples = self.latencies.setdefault(
-                side, collections.deque(maxlen=MAX_LATENCY_SAMPLES)
+                key, collections.deque(maxlen=MAX_LATENCY_SAMPLES)
             )
             samples.append(latency_s)
-        if on_trial and self._should_cut_off(counts, baseline):
-            is_new = side not in self.cut
-            self.cut.add(side)
+        if is_new_version and self._should_cut_off(counts, baseline):
+            is_new = key not in self.cut_off
+            self.cut_off.add(key)
             return is_new
         return False
 
-    def _should_cut_off(self, counts: Counts, baseline: Side | None) -> bool:
+    def _should_cut_off(
+        self, counts: OutcomeCounts, baseline: OutcomeKey | None
+    ) -> bool:
         """Returns whether the error rate is well above the old version's."""
         errors = sum(counts.recent)
         if errors < CUT_OFF_MIN_ERRORS:
@@ -108,7 +110,7 @@
         ) / len(baseline_counts.recent)
 
     def _compare_latency(
-        self, counts: Counts, baseline: Side, latency_s: float
+        self, counts: OutcomeCounts, baseline: OutcomeKey, latency_s: float
     ) -> None:
         """Counts a latency if there are enough samples to compare it with.
 
@@ -125,11 +127,11 @@
     def report(self) -> dict[str, list[int]]:
         """Returns outcome counts by key, for the control group."""
         return {
-            "|".join(side): [
+            "|".join(key): [
                 counts.ran,
                 counts.errors,
                 counts.slow,
                 counts.timed,
             ]
-            for side, counts in self.counts.items()
+            for key, counts in self.counts.items()
         }
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -7,9 +7,9 @@
 
 from _arbutuswalk.routing import announcements
 from _arbutuswalk.routing import choose
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import prefixes
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.routing import versions
 
 
@@ -230,35 +230,35 @@
         assert versions.pick(make_view(0), "model", "chat", "r") == ("v1", "")
 
 
-NEW_VERSION = evidence.Side("model", "v2", "chat")
-OLD_VERSION = evidence.Side("model", "v1", "chat")
+NEW_VERSION = version_outcomes.OutcomeKey("model", "v2", "chat")
+OLD_VERSION = version_outcomes.OutcomeKey("model", "v1", "chat")
 
 
 def record_outcome(outcomes, side, failed, latency=0.1):
-    return outcomes.note(
+    return outcomes.record(
         side,
         failed=failed,
         latency_s=latency,
         baseline=OLD_VERSION,
-        on_trial=side == NEW_VERSION,
+        is_new_version=side == NEW_VERSION,
     )
 
 
 class TestVersionOutcomes:
     def test_failing_version_is_cut_off_at_the_third_error(self):
-        outcomes = evidence.Evidence()
+        outcomes = version_outcomes.VersionOutcomes()
         cuts = [record_outcome(outcomes, NEW_VERSION, True) for _ in range(4)]
         assert cuts == [False, False, True, False]
-        assert NEW_VERSION in outcomes.cut
+        assert NEW_VERSION in outcomes.cut_off
 
     def test_old_version_is_never_cut(self):
-        outcomes = evidence.Evidence()
+        outcomes = version_outcomes.VersionOutcomes()
         assert not any(
             record_outcome(outcomes, OLD_VERSION, True) for _ in range(20)
         )
 
     def test_errors_of_both_versions_cause_no_cut_off(self):
-        outcomes = evidence.Evidence()
+        outcomes = version_outcomes.VersionOutcomes()
         for _ in range(30):
             record_outcome(outcomes, OLD_VERSION, True)
         assert not any(
@@ -266,7 +266,7 @@
         )
 
     def test_slow_is_measured_against_the_old_version(self):
-        outcomes = evidence.Evidence()
+        outcomes = version_outcomes.VersionOutcomes()
         for _ in range(40):
             record_outcome(outcomes, OLD_VERSION, False, 0.1)
         record_outcome(outcomes, NEW_VERSION, False, 0.15)
@@ -275,6 +275,6 @@
         assert outcomes.counts_for(NEW_VERSION).timed == 2
 
     def test_without_a_baseline_latencies_are_not_compared(self):
-        outcomes = evidence.Evidence()
+        outcomes = version_outcomes.VersionOutcomes()
         record_outcome(outcomes, NEW_VERSION, False, 9.0)
         assert outcomes.counts_for(NEW_VERSION).timed == 0
