--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -109,12 +109,12 @@
     if replaced is None:
         return
     oldest = entry.now() - RESTART_S
-    replaced.broken |= {
+    replaced.unconfirmed_crashes |= {
         fingerprint
-        for fingerprint, at in replaced.spared.items()
+        for fingerprint, at in replaced.survived_at.items()
         if at > oldest
     }
-    if not (replaced.broken or replaced.active):
+    if not (replaced.unconfirmed_crashes or replaced.active):
         return
     if replaced.health(replaced.heard_at) is not upstreams.Health.LEAVING:
         report = suspicion.report_death(entry, replaced)
--- a/src/_arbutuswalk/entry/running.py
+++ b/src/_arbutuswalk/entry/running.py
@@ -130,7 +130,7 @@
     try:
         result = await _run_or_move(state, row, feed)
         if isinstance(result, attempts.Broke | attempts.Silent):
-            row.broken.add(request.fingerprint)
+            row.unconfirmed_crashes.add(request.fingerprint)
     except asyncio.CancelledError:
         suspicion.release_later(entry, request)
         raise
@@ -216,9 +216,9 @@
     entry.metrics.count("attempts_failed", f'kind="{type(result).__name__}"')
     _explain(state, f"ended by {type(result).__name__}")
     died, blamed = await _look_for_death(state, row, result)
-    if not died and request.fingerprint in row.broken:
-        row.broken.discard(request.fingerprint)
-        row.spared[request.fingerprint] = entry.now()
+    if not died and request.fingerprint in row.unconfirmed_crashes:
+        row.unconfirmed_crashes.discard(request.fingerprint)
+        row.survived_at[request.fingerprint] = entry.now()
     # Work lost with its upstream is no sign of overload.
     state.free_retry = died or _was_announced(state, row, result)
     if blamed == request.fingerprint:
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -117,7 +117,7 @@
 async def _report(entry: core.Entry, row: upstreams.Row) -> str:
     # Attempts that broke off before this report was made count as well: the
     # guilty one need not be the first whose connection was seen to end.
-    running = set(row.broken)
+    running = set(row.unconfirmed_crashes)
     for request_id in row.active:
         other = entry.requests.get(request_id)
         if other is not None:
@@ -236,7 +236,7 @@
     return [
         identity
         for identity, row in entry.upstreams.rows.items()
-        if row.active or row.broken
+        if row.active or row.unconfirmed_crashes
     ]
 
 
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -30,9 +30,9 @@
         sent: Attempts sent since the newest announcement.
         ended: Attempts ended since the newest announcement.
         active: Ids of this entry's attempts running there.
-        broken: Fingerprints of attempts whose connection was lost, while it
-            is not known whether the upstream died.
-        spared: When the upstream of an attempt with a lost connection was
+        unconfirmed_crashes: Fingerprints of attempts whose connection was
+            lost, while it is not known whether the upstream died.
+        survived_at: When the upstream of an attempt with a lost connection was
             found alive, in seconds, by fingerprint.
         isolated: Fingerprint of the request it is reserved for, or empty.
         index: Prefixes that are probably cached there.
@@ -47,8 +47,8 @@
         self.sent = 0
         self.ended = 0
         self.active: dict[str, None] = {}
-        self.broken: set[str] = set()
-        self.spared: dict[str, float] = {}
+        self.unconfirmed_crashes: set[str] = set()
+        self.survived_at: dict[str, float] = {}
         self.isolated = ""
         self.index = prefixes.PrefixIndex(capacity_tokens=said["cache_tokens"])
         self.price = 0
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -102,7 +102,7 @@
         said = worlds.said("u0", "model")
         upstreams.announce(entry.upstreams, said, heard_at=loop.time())
         row = entry.upstreams.rows["u0"]
-        row.broken.add("f")
+        row.unconfirmed_crashes.add("f")
         loop.run_until_complete(suspicion.report_death(entry, row))
         assert told == [{"kind": news.SUSPECTS, "fingerprints": ["f"]}]
 
