--- a/src/_arbutuswalk/control/hub.py
+++ b/src/_arbutuswalk/control/hub.py
@@ -114,7 +114,7 @@
 
     def forget(self, endpoint_id: str) -> None:
         """Drops an endpoint that was read back and not heard since."""
-        directories.forget(self.directory, endpoint_id)
+        directories.remove(self.directory, endpoint_id)
         events.record(events.Event.ENDPOINT_FORGOTTEN, endpoint_id)
 
     async def confirm(self) -> bool:
@@ -240,7 +240,7 @@
             return True
         if tables.routes_version > message.routes_version:
             return True
-        return directories.has_news_since(self.directory, revision)
+        return directories.has_changes_since(self.directory, revision)
 
     def routes_part(self, message: ttypes.RoutesRequest) -> ttypes.RoutesPart:
         """Returns a part of the packed configuration of routes."""
@@ -260,7 +260,7 @@
         known = self.known_entries()
         return {
             "routes_version": tables.routes_version,
-            "endpoints": directories.since(self.directory, revision),
+            "endpoints": directories.updated_since(self.directory, revision),
             "members": self.member_addresses(),
             "rollouts": tables.rollouts,
             "loads": self.loads(),
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -104,7 +104,7 @@
     loop = asyncio.get_running_loop()
     while True:
         news = max(
-            (row.news_revision for row in hub.directory.rows.values()),
+            (row.change_revision for row in hub.directory.rows.values()),
             default=0,
         )
         if news != saved:
--- a/src/_arbutuswalk/routing/directory.py
+++ b/src/_arbutuswalk/routing/directory.py
@@ -51,14 +51,14 @@
         endpoint: The newest announcement.
         heard_at: Local time of the newest announcement, in seconds.
         revision: Directory revision of the newest announcement.
-        news_revision: Directory revision of the newest change other than of
+        change_revision: Directory revision of the newest change other than of
             the sequence or the remaining warm-up time.
     """
 
     endpoint: Endpoint
     heard_at: float
     revision: int
-    news_revision: int
+    change_revision: int
 
 
 class Directory:
@@ -107,7 +107,7 @@
     return existing is None or _is_relevant_change(existing.endpoint, merged)
 
 
-def leave(
+def deregister(
     directory: Directory, endpoint_id: str, born_ms: int | None, now: float
 ) -> bool:
     """Marks an endpoint as gone; returns whether that changed its state."""
@@ -130,18 +130,18 @@
         if now - row.heard_at > silent_s
     ]
     for endpoint_id in expired_ids:
-        forget(directory, endpoint_id)
+        remove(directory, endpoint_id)
     return expired_ids
 
 
-def forget(directory: Directory, endpoint_id: str) -> None:
+def remove(directory: Directory, endpoint_id: str) -> None:
     """Removes the row of one endpoint id."""
     row = directory.rows.pop(endpoint_id)
     if directory.ids_by_address.get(row.endpoint.address) == endpoint_id:
         del directory.ids_by_address[row.endpoint.address]
 
 
-def since(directory: Directory, revision: int) -> list[Endpoint]:
+def updated_since(directory: Directory, revision: int) -> list[Endpoint]:
     """Returns the endpoints whose rows changed after ``revision``."""
     return [
         row.endpoint
@@ -150,9 +150,11 @@
     ]
 
 
-def has_news_since(directory: Directory, revision: int) -> bool:
+def has_changes_since(directory: Directory, revision: int) -> bool:
     """Returns whether anything but sequences changed after ``revision``."""
-    return any(row.news_revision > revision for row in directory.rows.values())
+    return any(
+        row.change_revision > revision for row in directory.rows.values()
+    )
 
 
 def from_json(fields: list[Any]) -> Endpoint:
@@ -189,6 +191,6 @@
     changed = existing is None or _is_relevant_change(
         existing.endpoint, endpoint
     )
-    news_revision = revision if changed else existing.news_revision
-    row = Row(endpoint, now, revision, news_revision)
+    change_revision = revision if changed else existing.change_revision
+    row = Row(endpoint, now, revision, change_revision)
     directory.rows[endpoint.id] = row
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -51,7 +51,7 @@
     def test_an_endpoint_that_leaves_has_not_died(self):
         endpoints, tracker = directory.Directory(), crashes.CrashTracker()
         self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
-        directory.leave(endpoints, "a", None, 11.0)
+        directory.deregister(endpoints, "a", None, 11.0)
         assert crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2) == []
 
     def test_deaths_expire(self):
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -48,7 +48,7 @@
     def test_a_new_start_under_the_same_id_is_ready_again(self):
         endpoints = directory.Directory()
         directory.announce(endpoints, make_endpoint(), 0.0)
-        directory.leave(endpoints, "a", None, 1.0)
+        directory.deregister(endpoints, "a", None, 1.0)
         directory.announce(endpoints, make_endpoint(born_ms=2000), 2.0)
         assert state_of(endpoints) == directory.READY
 
@@ -75,8 +75,8 @@
         revision = endpoints.revision
         assert not directory.announce(endpoints, make_endpoint(sequence=2), 1.0)
         assert endpoints.rows["a"].heard_at == 1.0
-        assert not directory.has_news_since(endpoints, revision)
-        assert directory.since(endpoints, revision)
+        assert not directory.has_changes_since(endpoints, revision)
+        assert directory.updated_since(endpoints, revision)
 
     @hypothesis.given(
         order=strategies.permutations(range(5)),
@@ -100,14 +100,14 @@
     def test_a_deregistration_is_final_for_the_start(self, born_ms):
         endpoints = directory.Directory()
         directory.announce(endpoints, make_endpoint(), 0.0)
-        assert directory.leave(endpoints, "a", born_ms, 1.0)
+        assert directory.deregister(endpoints, "a", born_ms, 1.0)
         assert state_of(endpoints) == directory.GONE
-        assert not directory.leave(endpoints, "a", born_ms, 1.0)
+        assert not directory.deregister(endpoints, "a", born_ms, 1.0)
 
     def test_a_deregistration_of_a_former_start_is_ignored(self):
         endpoints = directory.Directory()
         directory.announce(endpoints, make_endpoint(), 0.0)
-        assert not directory.leave(endpoints, "a", 999, 1.0)
+        assert not directory.deregister(endpoints, "a", 999, 1.0)
         assert state_of(endpoints) == directory.READY
 
 
