--- a/src/_arbutuswalk/control/hub.py
+++ b/src/_arbutuswalk/control/hub.py
@@ -269,7 +269,7 @@
             "silent": len(known - self.live_entries().keys()),
             "wall": self.wall(),
             "term": self._deciding_term(),
-            "refused": crashes.add_up(
+            "refused": crashes.fingerprints_to_refuse(
                 [report.get("deaths", {}) for report in self.reports()]
             ),
         }
--- a/src/_arbutuswalk/routing/crashes.py
+++ b/src/_arbutuswalk/routing/crashes.py
@@ -97,7 +97,7 @@
     return confirmed
 
 
-def add_up(reports: list[dict[str, list[str]]]) -> list[str]:
+def fingerprints_to_refuse(reports: list[dict[str, list[str]]]) -> list[str]:
     """Returns the fingerprints to refuse, given all entries' deaths."""
     starts: dict[str, set[str]] = {}
     for report in reports:
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -67,12 +67,12 @@
 class TestFingerprintsToRefuse:
     def test_one_death_seen_by_many_entries_counts_once(self):
         reports = [{"f": ["a/1"]}] * 5
-        assert crashes.add_up(reports) == []
+        assert crashes.fingerprints_to_refuse(reports) == []
 
     def test_deaths_at_several_entries_are_summed(self):
         reports = [{"f": ["a/1"], "g": ["a/1"]}, {"f": ["b/1"]}]
         reports.append({"f": ["c/1"], "g": ["c/1"]})
-        assert crashes.add_up(reports) == ["f"]
+        assert crashes.fingerprints_to_refuse(reports) == ["f"]
 
 
 class TestRelay:
