--- a/src/_arbutuswalk/relay/intake.py
+++ b/src/_arbutuswalk/relay/admission.py
@@ -25,7 +25,7 @@
 """Deadline of a caller that sets none; the route's time-out is shorter."""
 
 
-class Arrival(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A request as it was read, before admission.
 
     Attributes:
@@ -65,60 +65,62 @@
     retry_after_s: float = 0.0
 
 
-def admit(relay: core.Relay, arrival: Arrival) -> requests.Request | Refusal:
+def admit(
+    relay: core.Relay, incoming: IncomingRequest
+) -> requests.Request | Refusal:
     """Returns the request to relay, or its refusal."""
     if relay.table is None:
         reason = "no configuration yet"
         return Refusal(STATUS_UNAVAILABLE, reason, STARTUP_RETRY_AFTER_S)
-    route = routetable.find(relay.table, arrival.host, arrival.path)
+    route = routetable.find(relay.table, incoming.host, incoming.path)
     if route is None:
         return Refusal(STATUS_NOT_FOUND, "no such route")
-    if not arrival.id:
+    if not incoming.id:
         return Refusal(STATUS_BAD_REQUEST, "the request bears no id")
     max_body_bytes = relay.table.config.limits.max_body_bytes
-    if max_body_bytes and len(arrival.body) > max_body_bytes:
+    if max_body_bytes and len(incoming.body) > max_body_bytes:
         return Refusal(
             STATUS_CONTENT_TOO_LARGE, f"body over {max_body_bytes} bytes"
         )
     workspace = None
     if relay.table.workspaces_by_key and not route.anonymous:
-        workspace = relay.table.workspaces_by_key.get(arrival.key)
+        workspace = relay.table.workspaces_by_key.get(incoming.key)
         if workspace is None:
             return Refusal(STATUS_UNAUTHORIZED, "unknown key")
-    request = _make_request(relay, arrival, route, workspace)
+    request = _make_request(relay, incoming, route, workspace)
     if request.fingerprint in relay.refused_fingerprints:
         reason = f"it crashed {crashes.DEATHS_TO_REFUSE} endpoints"
         return Refusal(STATUS_UNAVAILABLE, reason, crashes.DEATH_RETENTION_S)
-    relay.lateness.record(route.name, arrival.deadline_s)
+    relay.lateness.record(route.name, incoming.deadline_s)
     refusal = _take_quota(relay, request)
     return refusal or request
 
 
 def _make_request(
     relay: core.Relay,
-    arrival: Arrival,
+    incoming: IncomingRequest,
     route: routeconfig.Route,
     workspace: routeconfig.Workspace | None,
 ) -> requests.Request:
-    waits_s = arrival.deadline_s
+    waits_s = incoming.deadline_s
     if waits_s is None:
         waits_s = DEFAULT_DEADLINE_S
     return requests.Request(
-        id=arrival.id,
-        method=arrival.method,
-        target=arrival.target,
-        headers=arrival.headers,
-        body=arrival.body,
+        id=incoming.id,
+        method=incoming.method,
+        target=incoming.target,
+        headers=incoming.headers,
+        body=incoming.body,
         route=route,
         upstream=routetable.pick_target(route, relay.rng),
         workspace=workspace,
-        came_at=arrival.came_at,
-        deadline=arrival.came_at + min(waits_s, route.timeout_s),
+        came_at=incoming.came_at,
+        deadline=incoming.came_at + min(waits_s, route.timeout_s),
         waits_s=waits_s,
-        prompt=arrival.prompt,
-        last_event=arrival.last_event,
+        prompt=incoming.prompt,
+        last_event=incoming.last_event,
         fingerprint=crashes.fingerprint(
-            workspace.name if workspace else "", arrival.target, arrival.body
+            workspace.name if workspace else "", incoming.target, incoming.body
         ),
     )
 
@@ -131,7 +133,7 @@
     now = relay.now()
     bucket = _quota_bucket(relay, workspace, now)
     wait_s = bucket.take(
-        cost(request),
+        quota_cost(request),
         now,
         entries=relay.entry_count,
         silent=relay.unreachable_entries,
@@ -166,7 +168,7 @@
     return bucket
 
 
-def cost(request: requests.Request) -> int:
+def quota_cost(request: requests.Request) -> int:
     """Returns the cost of a request in its workspace's quota."""
     if not request.workspace.by_tokens:
         return 1
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -2,7 +2,7 @@
 
 import relays
 
-from _arbutuswalk.relay import intake
+from _arbutuswalk.relay import admission
 from _arbutuswalk.relay import relaying
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import directory
@@ -78,7 +78,7 @@
 class TestRelay:
     async def test_a_refused_request_reaches_no_endpoint(self):
         relay = relays.make_relay()
-        arrival = intake.Arrival(
+        arrival = admission.IncomingRequest(
             id="attempt-1",
             method="POST",
             host="h.example",
@@ -92,13 +92,13 @@
             last_event="",
             came_at=relay.now(),
         )
-        admitted = intake.admit(relay, arrival)
+        admitted = admission.admit(relay, arrival)
         relay.refused_fingerprints = frozenset([admitted.fingerprint])
-        refusal = intake.admit(relay, arrival)
+        refusal = admission.admit(relay, arrival)
         assert refusal.status == 503
         assert refusal.retry_after_s > 0
-        other = intake.admit(relay, arrival._replace(body=b"innocent"))
-        assert not isinstance(other, intake.Refusal)
+        other = admission.admit(relay, arrival._replace(body=b"innocent"))
+        assert not isinstance(other, admission.Refusal)
 
     async def test_a_lost_connection_makes_a_suspect(self):
         relay = relays.make_relay()
--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -13,7 +13,7 @@
 from arbutuswalk_platform import probes
 from arbutuswalk_platform import server
 
-from _arbutuswalk.relay import intake
+from _arbutuswalk.relay import admission
 from _arbutuswalk.state import routeconfig
 
 GOOD = (
@@ -292,7 +292,7 @@
 
     def test_tokens_are_what_a_quota_counts(self):
         relay = relays.make_relay()
-        assert intake.cost(relays.make_request(relay)) == 10
+        assert admission.quota_cost(relays.make_request(relay)) == 10
 
 
 class TestNames:
