--- a/src/_arbutuswalk/relay/watching.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -68,23 +68,25 @@
         self.task: asyncio.Task | None = None
 
 
-class Watcher:
+class ControlWatcher:
     """Watches all control processes known to an entry.
 
     Attributes:
         relay: State of the entry, which the replies update.
         seeds: Link addresses from the settings.
-        listens_on: Address that accepts callers' requests.
+        listen_address: Address that accepts callers' requests.
         feeds: Watched control process by link address.
         connected_since: Since when at least one control process has been
             answering without interruption, None while none does.
         fetch_task: Fetches a new configuration, None before the first.
     """
 
-    def __init__(self, *, relay: core.Relay, seeds: list[str], listens_on: str):
+    def __init__(
+        self, *, relay: core.Relay, seeds: list[str], listen_address: str
+    ):
         self.relay = relay
         self.seeds = seeds
-        self.listens_on = listens_on
+        self.listen_address = listen_address
         self.feeds: dict[str, ControlFeed] = {}
         self.connected_since: float | None = None
         self.fetch_task: asyncio.Task | None = None
@@ -178,7 +180,7 @@
         relay = self.relay
         return {
             "entry": relay.name,
-            "address": self.listens_on,
+            "address": self.listen_address,
             "domain": relay.domain,
             "ready": relay.ready,
             "left": relay.draining,
--- a/testing/relays.py
+++ b/testing/relays.py
@@ -8,10 +8,10 @@
 from arbutuswalk_platform import headers
 
 from _arbutuswalk.limits import quota
+from _arbutuswalk.relay import control_watch
 from _arbutuswalk.relay import core
 from _arbutuswalk.relay import delivery
 from _arbutuswalk.relay import request as requests
-from _arbutuswalk.relay import watching
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import routeconfig
 
@@ -73,7 +73,7 @@
     relay.entry_count = 1
     config = config or make_config()
     values = json.loads(json.dumps(routeconfig.to_json(config)))
-    watching.apply_routes(relay, values, "test")
+    control_watch.apply_routes(relay, values, "test")
     return relay
 
 
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -6,8 +6,8 @@
 import relays
 import test_crashes
 
+from _arbutuswalk.relay import control_watch
 from _arbutuswalk.relay import core
-from _arbutuswalk.relay import watching
 from _arbutuswalk.routing import directory
 from _arbutuswalk.wire import packed
 from _arbutuswalk.wire.gen.arbutus import ttypes
@@ -25,8 +25,10 @@
     relay = relays.make_relay()
     relay.now = FakeClock()
     relay.started_at = relay.now()
-    watcher = watching.Watcher(relay=relay, seeds=[], listens_on="127.0.0.1:1")
-    feed = watching.ControlFeed(address="127.0.0.1:2", now=relay.now())
+    watcher = control_watch.ControlWatcher(
+        relay=relay, seeds=[], listen_address="127.0.0.1:1"
+    )
+    feed = control_watch.ControlFeed(address="127.0.0.1:2", now=relay.now())
     watcher.feeds[feed.address] = feed
     return watcher, feed
 
@@ -74,7 +76,7 @@
         watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" in watcher.relay.directory.rows
-        watcher.relay.now.time += watching.ENDPOINT_EXPIRY_S + 1
+        watcher.relay.now.time += control_watch.ENDPOINT_EXPIRY_S + 1
         watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" not in watcher.relay.directory.rows
