--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -233,7 +233,7 @@
         self.relay.unreachable_entries = news["silent"]
         self.relay.refused_fingerprints = frozenset(news["refused"])
         self._correct_clock()
-        self.relay.tell()
+        self.relay.notify_waiters()
 
     def _fetch_newer_routes(self, feed: ControlFeed) -> None:
         """Starts fetching a configuration newer than the one in use."""
@@ -251,7 +251,7 @@
         self, values: dict[str, Any], source: str
     ) -> None:
         apply_routes(self.relay, values, source)
-        self.relay.tell()
+        self.relay.notify_waiters()
 
     def _merge_rollouts(self, rollouts: dict[str, list]) -> None:
         """Keeps the newest step of each rollout, from any control process."""
--- a/src/_arbutuswalk/relay/core.py
+++ b/src/_arbutuswalk/relay/core.py
@@ -179,7 +179,7 @@
         if load.running or load.waiting_tokens:
             self.loads[endpoint] = load
 
-    def tell(self) -> None:
+    def notify_waiters(self) -> None:
         """Wakes all tasks that wait for an update from control."""
         former_event, self.control_updated = (
             self.control_updated,
@@ -187,7 +187,7 @@
         )
         former_event.set()
 
-    async def learn(self, is_known: Callable[[], bool]) -> bool:
+    async def wait_until_known(self, is_known: Callable[[], bool]) -> bool:
         """Waits until ``is_known()`` is true, but only shortly after the start.
 
         A process that has just started is likely to receive the missing state
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -64,7 +64,7 @@
     relay: core.Relay, request: requests.Request
 ) -> placement.Placement | None:
     """Waits for an endpoint in the first seconds after the process start."""
-    is_available = await relay.learn(
+    is_available = await relay.wait_until_known(
         lambda: placement.find_placement(relay, request, set()) is not None
     )
     return (
--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -135,7 +135,7 @@
             asking = asyncio.ensure_future(front.ask(GOOD))
             await asyncio.sleep(0.05)
             front.relay.table = table
-            front.relay.tell()
+            front.relay.notify_waiters()
             assert (await asking)[0] == 200
 
     async def test_a_large_body_is_refused(self):
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -255,7 +255,7 @@
         relay.started_at -= 60
         caller = await relay_to(relay)
         assert caller.status == 503
-        assert not await relay.learn(lambda: False)
+        assert not await relay.wait_until_known(lambda: False)
 
     async def test_a_new_process_waits_for_its_first_endpoint(self):
         relay = relays.make_relay(relays.make_config(NON_IDEMPOTENT_ROUTE))
@@ -269,7 +269,7 @@
         )
         await asyncio.sleep(0.05)
         await endpoint.start(relay)
-        relay.tell()
+        relay.notify_waiters()
         await task
         assert caller.status == 200
         endpoint.stop()
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -86,11 +86,11 @@
     async def test_the_longest_wait_does_not_restart_with_each_update(self):
         watcher, _ = make_watcher()
         relay = watcher.relay
-        waiting = asyncio.ensure_future(relay.learn(lambda: False))
+        waiting = asyncio.ensure_future(relay.wait_until_known(lambda: False))
         for _ in range(3):
             await asyncio.sleep(0)
             relay.now.time += 0.6 * core.MAX_STARTUP_WAIT_S
-            relay.tell()
+            relay.notify_waiters()
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert waiting.done()
