--- a/src/_arbutuswalk/relay/admission.py
+++ b/src/_arbutuswalk/relay/admission.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from _arbutuswalk.limits import quota
-from _arbutuswalk.relay import core
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import routetable
@@ -66,7 +66,7 @@
 
 
 def admit(
-    relay: core.Relay, incoming: IncomingRequest
+    relay: relay_state.Relay, incoming: IncomingRequest
 ) -> requests.Request | Refusal:
     """Returns the request to relay, or its refusal."""
     if relay.table is None:
@@ -97,7 +97,7 @@
 
 
 def _make_request(
-    relay: core.Relay,
+    relay: relay_state.Relay,
     incoming: IncomingRequest,
     route: routeconfig.Route,
     workspace: routeconfig.Workspace | None,
@@ -125,7 +125,9 @@
     )
 
 
-def _take_quota(relay: core.Relay, request: requests.Request) -> Refusal | None:
+def _take_quota(
+    relay: relay_state.Relay, request: requests.Request
+) -> Refusal | None:
     """Takes the request's cost from its workspace's quota."""
     workspace = request.workspace
     if workspace is None or not workspace.rate_per_s:
@@ -154,7 +156,7 @@
 
 
 def _quota_bucket(
-    relay: core.Relay, workspace: routeconfig.Workspace, now: float
+    relay: relay_state.Relay, workspace: routeconfig.Workspace, now: float
 ) -> quota.Bucket:
     rate, burst = workspace.rate_per_s, workspace.burst
     if workspace.by_tokens:
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -1,9 +1,9 @@
 """Sends a request to one endpoint and processes the answer."""
 
 from _arbutuswalk.base import events
-from _arbutuswalk.relay import core
 from _arbutuswalk.relay import delivery
 from _arbutuswalk.relay import placement
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.relay import results
 from _arbutuswalk.routing import crashes
@@ -41,7 +41,7 @@
     def __init__(
         self,
         *,
-        relay: core.Relay,
+        relay: relay_state.Relay,
         to_caller: delivery.Delivery,
         chosen: placement.Placement,
     ):
@@ -266,7 +266,7 @@
         key = (self.request.upstream, self.endpoint.version)
         outcomes = self.relay.outcomes.get(key)
         if outcomes is None:
-            outcomes = self.relay.outcomes[key] = core.Outcomes()
+            outcomes = self.relay.outcomes[key] = relay_state.Outcomes()
         if isinstance(
             result, results.NotSent | results.NotRun | results.CallerLeft
         ):
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -11,7 +11,7 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.relay import config_fetch
-from _arbutuswalk.relay import core
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import directory
 from _arbutuswalk.routing import routetable
@@ -64,7 +64,7 @@
         self.term = 0
         self.wall_offset: float | None = None
         self.reported_taken: dict[str, float] = {}
-        self.reported_loads: dict[str, core.Load] = {}
+        self.reported_loads: dict[str, relay_state.Load] = {}
         self.task: asyncio.Task | None = None
 
 
@@ -82,7 +82,7 @@
     """
 
     def __init__(
-        self, *, relay: core.Relay, seeds: list[str], listen_address: str
+        self, *, relay: relay_state.Relay, seeds: list[str], listen_address: str
     ):
         self.relay = relay
         self.seeds = seeds
@@ -265,12 +265,12 @@
     ) -> None:
         """Sets other entries' loads: the totals minus our own share."""
         self.relay.other_loads = {
-            name: core.Load(
+            name: relay_state.Load(
                 max(0, running - own.running),
                 max(0, tokens - own.waiting_tokens),
             )
             for name, (running, tokens) in loads.items()
-            for own in [feed.reported_loads.get(name, core.Load())]
+            for own in [feed.reported_loads.get(name, relay_state.Load())]
         }
 
     def _record_quota_use(
@@ -293,7 +293,7 @@
 
 
 def apply_routes(
-    relay: core.Relay, values: dict[str, Any], source: str
+    relay: relay_state.Relay, values: dict[str, Any], source: str
 ) -> None:
     """Puts a route configuration into use if it is newer than the current."""
     config = routeconfig.from_json(values)
--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -5,7 +5,7 @@
 be continued by another one.
 """
 
-from _arbutuswalk.relay import core
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.relay import sse
 from _arbutuswalk.streams import framing
@@ -31,7 +31,7 @@
     def __init__(
         self,
         *,
-        relay: core.Relay,
+        relay: relay_state.Relay,
         request: requests.Request,
         caller: requests.Caller,
     ):
--- a/src/_arbutuswalk/relay/placement.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from _arbutuswalk.base import events
-from _arbutuswalk.relay import core
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.routing import directory
 from _arbutuswalk.routing import selection
@@ -26,7 +26,7 @@
 
 
 def find_placement(
-    relay: core.Relay, request: requests.Request, tried: set[str]
+    relay: relay_state.Relay, request: requests.Request, tried: set[str]
 ) -> Placement | None:
     """Returns an endpoint that was not tried yet, None if there is none."""
     now = relay.now()
@@ -56,7 +56,7 @@
 
 
 def record_sent(
-    relay: core.Relay, request: requests.Request, endpoint: str
+    relay: relay_state.Relay, request: requests.Request, endpoint: str
 ) -> None:
     """Records that the request's shared parts are sent to an endpoint."""
     part = _last_shared_part(_prompt_profile(request))
@@ -64,7 +64,7 @@
         relay.recent_parts.record(part, endpoint, relay.now())
 
 
-def mark_suspect(relay: core.Relay, endpoint: str, reason: str) -> None:
+def mark_suspect(relay: relay_state.Relay, endpoint: str, reason: str) -> None:
     """Makes a failed endpoint a last resort for a limited time."""
     if relay.suspect_until.get(endpoint, 0.0) < relay.now():
         events.record(events.Event.ENDPOINT_SUSPECT, endpoint, reason)
@@ -72,7 +72,7 @@
 
 
 def _make_candidate(
-    relay: core.Relay, row: directory.Row, now: float, outliers: set[str]
+    relay: relay_state.Relay, row: directory.Row, now: float, outliers: set[str]
 ) -> selection.Candidate:
     endpoint_id = row.endpoint.id
     own_load, other_load = (
@@ -115,7 +115,9 @@
 
 
 def _filter_by_version(
-    relay: core.Relay, request: requests.Request, rows: list[directory.Row]
+    relay: relay_state.Relay,
+    request: requests.Request,
+    rows: list[directory.Row],
 ) -> list[directory.Row]:
     """Filters endpoints by the version that a rollout assigns to a request."""
     rollout = relay.rollouts.get(request.upstream)
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -4,9 +4,9 @@
 
 from _arbutuswalk.base import events
 from _arbutuswalk.relay import attempts
-from _arbutuswalk.relay import core
 from _arbutuswalk.relay import delivery
 from _arbutuswalk.relay import placement
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.relay import results
 from _arbutuswalk.streams import replies
@@ -18,7 +18,9 @@
 
 
 async def relay_request(
-    relay: core.Relay, request: requests.Request, to_caller: delivery.Delivery
+    relay: relay_state.Relay,
+    request: requests.Request,
+    to_caller: delivery.Delivery,
 ) -> None:
     """Sends a request to endpoints until it is answered or has failed."""
     relay.retry_window(request.upstream).note_request(relay.now())
@@ -61,7 +63,7 @@
 
 
 async def _wait_for_placement(
-    relay: core.Relay, request: requests.Request
+    relay: relay_state.Relay, request: requests.Request
 ) -> placement.Placement | None:
     """Waits for an endpoint in the first seconds after the process start."""
     is_available = await relay.wait_until_known(
@@ -75,7 +77,7 @@
 
 
 def _may_attempt(
-    relay: core.Relay, request: requests.Request, tally: results.Tally
+    relay: relay_state.Relay, request: requests.Request, tally: results.Tally
 ) -> bool:
     """Returns whether the retry budget permits another attempt.
 
@@ -88,7 +90,7 @@
 
 
 async def _send_final_answer(
-    relay: core.Relay,
+    relay: relay_state.Relay,
     to_caller: delivery.Delivery,
     result: results.Result,
     last_answer: results.Answered | None,
@@ -148,7 +150,7 @@
 
 
 async def refuse(
-    relay: core.Relay,
+    relay: relay_state.Relay,
     to_caller: delivery.Delivery,
     *,
     status: int,
@@ -169,7 +171,7 @@
 
 
 def note_refusal(
-    relay: core.Relay,
+    relay: relay_state.Relay,
     request_id: str,
     status: int,
     reason: str,
@@ -211,7 +213,7 @@
 
 
 def _record_caller_left(
-    relay: core.Relay, request: requests.Request, endpoint_id: str
+    relay: relay_state.Relay, request: requests.Request, endpoint_id: str
 ) -> None:
     took_ms = round((relay.now() - request.came_at) * 1000)
     relay.metrics.count("callers_left")
@@ -225,7 +227,7 @@
 
 
 def _record_answer(
-    relay: core.Relay,
+    relay: relay_state.Relay,
     request: requests.Request,
     endpoint_id: str,
     status: int,
--- a/testing/relays.py
+++ b/testing/relays.py
@@ -9,13 +9,13 @@
 
 from _arbutuswalk.limits import quota
 from _arbutuswalk.relay import control_watch
-from _arbutuswalk.relay import core
 from _arbutuswalk.relay import delivery
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import routeconfig
 
-OPTIONS = core.Options(
+OPTIONS = relay_state.Options(
     retry_ratio=0.2,
     retry_extra=400.0,
     retry_window_s=10.0,
@@ -64,7 +64,7 @@
 
 
 def make_relay(config=None, **changes):
-    relay = core.Relay(
+    relay = relay_state.Relay(
         name="entry-1",
         domain="d1",
         dialect=headers.DIALECT,
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -7,7 +7,7 @@
 import test_crashes
 
 from _arbutuswalk.relay import control_watch
-from _arbutuswalk.relay import core
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.routing import directory
 from _arbutuswalk.wire import packed
 from _arbutuswalk.wire.gen.arbutus import ttypes
@@ -89,7 +89,7 @@
         waiting = asyncio.ensure_future(relay.wait_until_known(lambda: False))
         for _ in range(3):
             await asyncio.sleep(0)
-            relay.now.time += 0.6 * core.MAX_STARTUP_WAIT_S
+            relay.now.time += 0.6 * relay_state.MAX_STARTUP_WAIT_S
             relay.notify_waiters()
             await asyncio.sleep(0)
         await asyncio.sleep(0)
