--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -48,11 +48,11 @@
             relay=relay, to_caller=to_caller, chosen=chosen
         )
         result = await attempt.run()
-        tally = results.add(tally, result)
+        tally = results.tally_result(tally, result)
         if isinstance(result, results.Answered):
             last_answer = result
         left_s = request.deadline - relay.now()
-        if not results.may_try_again(result, request.route, tally, left_s):
+        if not results.may_retry(result, request.route, tally, left_s):
             break
     if isinstance(result, results.CallerLeft):
         _record_caller_left(relay, request, endpoint_id)
--- a/src/_arbutuswalk/relay/results.py
+++ b/src/_arbutuswalk/relay/results.py
@@ -87,7 +87,7 @@
     runs: int = 0
 
 
-def add(tally: Tally, result: Result) -> Tally:
+def tally_result(tally: Tally, result: Result) -> Tally:
     """Returns the tally after one more attempt."""
     may_have_arrived = not isinstance(result, NotSent)
     may_have_run = may_have_arrived and not isinstance(result, NotRun)
@@ -98,7 +98,7 @@
     )
 
 
-def may_try_again(
+def may_retry(
     result: Result, route: routeconfig.Route, tally: Tally, left_s: float
 ) -> bool:
     """Returns whether the request may be sent to another endpoint."""
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -413,12 +413,12 @@
         self, kind, resumable, result, again
     ):
         route = relays.make_route(kind=kind, resumable=resumable)
-        tally = results.add(results.Tally(), result)
-        assert results.may_try_again(result, route, tally, 1.0) == again
+        tally = results.tally_result(results.Tally(), result)
+        assert results.may_retry(result, route, tally, 1.0) == again
 
     def test_no_refusal_once_it_may_have_run(self):
-        tally = results.add(results.Tally(), results.Lost(reason=""))
-        tally = results.add(tally, results.NotSent(reason=""))
+        tally = results.tally_result(results.Tally(), results.Lost(reason=""))
+        tally = results.tally_result(tally, results.NotSent(reason=""))
         final = results.NotSent(reason="")
         assert results.final_status(final, tally) == 502
         assert results.final_status(final, results.Tally()) == 503
@@ -426,5 +426,5 @@
     def test_no_time_left_means_no_other_endpoint(self):
         route = relays.make_route()
         lost = results.Lost(reason="")
-        tally = results.add(results.Tally(), lost)
-        assert not results.may_try_again(lost, route, tally, 0.01)
+        tally = results.tally_result(results.Tally(), lost)
+        assert not results.may_retry(lost, route, tally, 0.01)
