--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -91,13 +91,13 @@
             if self.delivery.caller_left:
                 return results.CallerLeft()
             return results.NotSent(reason="no time left")
-        send = requests.Send(
+        options = requests.AttemptOptions(
             endpoint=self.endpoint.id,
             left_s=left_s,
             last_event=self.delivery.last_event,
-            rank=min(MAX_PRIORITY_RANK, self.request.priority),
+            priority=min(MAX_PRIORITY_RANK, self.request.priority),
         )
-        data = self.relay.dialect.encode(self.request, send)
+        data = self.relay.dialect.encode(self.request, options)
         self.delivery.on_caller_left = self.exchange.news.set
         connection.begin(data, self.exchange)
         result = await self._receive_answer(connection)
--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -46,7 +46,7 @@
         self.framer = framing.Framer()
         self.on_caller_left = lambda: None
 
-    def leave(self) -> None:
+    def mark_caller_left(self) -> None:
         """Records that the caller has closed the connection."""
         self.caller_left = True
         self.on_caller_left()
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -146,7 +146,9 @@
         took_ms,
     )
     relay.metrics.count("failed", f'status="{status}"')
-    await to_caller.send_local_answer(*problem(status, _result_reason(result)))
+    await to_caller.send_local_answer(
+        *problem_answer(status, _result_reason(result))
+    )
 
 
 async def refuse(
@@ -159,7 +161,7 @@
 ) -> None:
     """Refuses a request that has not run and will not be run."""
     request = to_caller.request
-    note_refusal(
+    record_refusal(
         relay,
         request.id,
         status,
@@ -167,10 +169,12 @@
         route=request.route.name,
         elapsed_s=relay.now() - request.came_at,
     )
-    await to_caller.send_local_answer(*problem(status, reason, retry_after_s))
+    await to_caller.send_local_answer(
+        *problem_answer(status, reason, retry_after_s)
+    )
 
 
-def note_refusal(
+def record_refusal(
     relay: relay_state.Relay,
     request_id: str,
     status: int,
@@ -192,7 +196,7 @@
     relay.metrics.count("refused", f'status="{status}"')
 
 
-def problem(
+def problem_answer(
     status: int, reason: str, retry_after_s: float = 0.0
 ) -> tuple[int, replies.Headers, bytes]:
     """Returns status, headers and body of an error answer by the entry."""
--- a/src/_arbutuswalk/relay/request.py
+++ b/src/_arbutuswalk/relay/request.py
@@ -95,20 +95,20 @@
     end: Callable[[], Awaitable[None]]
 
 
-class Send(NamedTuple):
+class AttemptOptions(NamedTuple):
     """Parameters of one attempt to send a request to an endpoint.
 
     Attributes:
         endpoint: Id that only the intended endpoint accepts.
         left_s: Time left for the endpoint to answer.
         last_event: Id of the last event that the caller has, or empty.
-        rank: Priority of a model request from 0 to 9, None to send none.
+        priority: Priority of a model request from 0 to 9, None to send none.
     """
 
     endpoint: str
     left_s: float
     last_event: str
-    rank: int | None
+    priority: int | None
 
 
 class Dialect(NamedTuple):
@@ -120,6 +120,6 @@
         answer_headers: Returns the headers to forward to the caller.
     """
 
-    encode: Callable[[Request, Send], bytes]
+    encode: Callable[[Request, AttemptOptions], bytes]
     read: Callable[[int, replies.Headers], replies.Reply]
     answer_headers: Callable[[replies.Headers], replies.Headers]
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -342,7 +342,7 @@
         )
         while not to_caller.event_count:
             await asyncio.sleep(0.01)
-        to_caller.leave()
+        to_caller.mark_caller_left()
         await asyncio.wait_for(task, 10)
         await asyncio.wait_for(endpoint.lost.wait(), 10)
         endpoint.stop()
