--- a/bench/routing.py
+++ b/bench/routing.py
@@ -33,7 +33,7 @@
 def prefix_hash(_rng):
     def pick(rows, job):
         def weight(row):
-            text = f"{job.features.affinity}|{row.said['id']}"
+            text = f"{job.features.affinity}|{row.announcement['id']}"
             return hashlib.blake2b(text.encode()).digest()
 
         return max(rows, key=weight)
@@ -78,7 +78,7 @@
             row.active.pop(str(job.number), None)
 
         job.on_end = end
-        pool.engines[row.said["id"]].submit(job)
+        pool.engines[row.announcement["id"]].submit(job)
 
     for job in jobs:
         clock.at(job.arrived, lambda job=job: arrive(job))
--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -153,7 +153,7 @@
 
 def _take_cache_event(entry: core.Entry, event: dict[str, Any]) -> None:
     row = entry.upstreams.rows.get(event["id"])
-    if row is None or row.said["incarnation"] != event["incarnation"]:
+    if row is None or row.announcement["incarnation"] != event["incarnation"]:
         return
     row.index.apply_event(event["sequence"], event["stored"], event["removed"])
 
--- a/src/_arbutuswalk/entry/calls.py
+++ b/src/_arbutuswalk/entry/calls.py
@@ -128,7 +128,7 @@
         row.ended += 1
         row.active.pop(call.call_id, None)
         entry.note_usage(
-            row.said["instance"], call.workspace, entry.now() - started
+            row.announcement["instance"], call.workspace, entry.now() - started
         )
     services.note_evidence(entry, call, row, result, entry.now() - started)
     if isinstance(result, exchange.NotOpened):
@@ -186,7 +186,7 @@
     if not pattern or not rows:
         return None
     order = exchange.Order(
-        address=rows[0].said["address"],
+        address=rows[0].announcement["address"],
         method="GET",
         path=pattern.replace("{key}", key),
         headers={},
@@ -195,7 +195,7 @@
         attempt_id=uuid.uuid4().hex,
         key="",
         priority=0,
-        echo=rows[0].said["echo"],
+        echo=rows[0].announcement["echo"],
     )
     result = await exchange.run(
         entry.pool, order, timeout_s=STATUS_TIMEOUT_S, fresh=True
@@ -266,7 +266,7 @@
         attempt=attempt,
         entry=entry.name,
         incarnation=entry.incarnation,
-        upstream=row.said["id"],
+        upstream=row.announcement["id"],
         route=f"{call.upstream['name']}/{call.route['name']}",
     )
 
--- a/src/_arbutuswalk/entry/links.py
+++ b/src/_arbutuswalk/entry/links.py
@@ -81,7 +81,7 @@
         "draining": entry.draining,
         "upstreams": {
             identity: {
-                "said": row.said,
+                "said": row.announcement,
                 "health": row.health(now).value,
                 "load": row.load,
                 "active": len(row.active),
--- a/src/_arbutuswalk/entry/placing.py
+++ b/src/_arbutuswalk/entry/placing.py
@@ -40,10 +40,10 @@
         in entry.evidence.cut_off
     )
     if not cut:
-        chosen = [row for row in rows if row.said["version"] == wanted]
+        chosen = [row for row in rows if row.announcement["version"] == wanted]
         if chosen or not fallback:
             return chosen
-    return [row for row in rows if row.said["version"] == fallback]
+    return [row for row in rows if row.announcement["version"] == fallback]
 
 
 def early_refusal(
@@ -70,7 +70,7 @@
             "no",
             RETRY_AFTER_S,
         )
-    slots = sum(row.said["slots"] for row in rows)
+    slots = sum(row.announcement["slots"] for row in rows)
     queue = entry.queue_of(request.upstream)
     ticket = _ticket(request, None)
     ahead = queue.cost_ahead(ticket, _total_weight(entry))
--- a/src/_arbutuswalk/entry/running.py
+++ b/src/_arbutuswalk/entry/running.py
@@ -137,7 +137,9 @@
     finally:
         placing.release(entry, row, request)
         entry.note_usage(
-            row.said["instance"], request.workspace, entry.now() - started
+            row.announcement["instance"],
+            request.workspace,
+            entry.now() - started,
         )
     entry.learn_speed(
         request.upstream,
@@ -184,13 +186,13 @@
             "events": len(request.answer.events),
         }
     return attempts.Order(
-        address=row.said["address"],
+        address=row.announcement["address"],
         path=requests.PATHS[request.route],
         request_id=request.request_id,
         attempt_id=uuid.uuid4().hex,
         body=body,
         priority=request.priority,
-        echo=row.said["echo"],
+        echo=row.announcement["echo"],
     )
 
 
@@ -297,7 +299,7 @@
     wanted, old = versions.pick(
         entry.moves, request.upstream, request.route, request.request_id
     )
-    version = row.said["version"]
+    version = row.announcement["version"]
     side = version_outcomes.OutcomeKey(request.upstream, version, request.route)
     baseline = version_outcomes.OutcomeKey(request.upstream, old, request.route)
     cut = entry.evidence.record(
@@ -329,7 +331,7 @@
 def _record(
     entry: core.Entry, row: upstreams.Row, name: str, seconds: float
 ) -> None:
-    labels = f'upstream="{row.name}",version="{row.said["version"]}"'
+    labels = f'upstream="{row.name}",version="{row.announcement["version"]}"'
     entry.metrics.record(name, labels, seconds)
 
 
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -242,7 +242,7 @@
         row.ended += 1
         row.active.pop(call.call_id, None)
         entry.note_usage(
-            row.said["instance"], call.workspace, entry.now() - started
+            row.announcement["instance"], call.workspace, entry.now() - started
         )
     if isinstance(result, exchange.NotOpened):
         row.failed_at = entry.now()
@@ -253,7 +253,7 @@
 def order_of(call: ServiceCall, row: upstreams.Row) -> exchange.Order:
     """Returns what to send to an upstream."""
     return exchange.Order(
-        address=row.said["address"],
+        address=row.announcement["address"],
         method=call.method,
         path=call.path,
         headers=call.headers,
@@ -262,7 +262,7 @@
         attempt_id=uuid.uuid4().hex,
         key=call.key,
         priority=call.priority,
-        echo=row.said["echo"],
+        echo=row.announcement["echo"],
     )
 
 
@@ -279,7 +279,7 @@
         return
     name, route = call.upstream["name"], call.route["name"]
     wanted, old = versions.pick(entry.moves, name, route, call.call_id)
-    version = row.said["version"]
+    version = row.announcement["version"]
     ok = isinstance(result, exchange.Reply) and result.status < 500
     entry.evidence.record(
         version_outcomes.OutcomeKey(name, version, route),
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -37,7 +37,7 @@
     alone may be cut off.
     """
     broke_at = entry.now()
-    probe = await _probe(row.said["address"])
+    probe = await _probe(row.announcement["address"])
     if probe == _REFUSED:
         return True
     if probe == _OPEN and not row.isolated:
@@ -98,7 +98,7 @@
 
 
 def _is_replaced(entry: core.Entry, row: upstreams.Row) -> bool:
-    return entry.upstreams.rows.get(row.said["id"]) is not row
+    return entry.upstreams.rows.get(row.announcement["id"]) is not row
 
 
 async def report_death(entry: core.Entry, row: upstreams.Row) -> str:
@@ -126,12 +126,14 @@
     news.tell_others(
         entry, {"kind": news.SUSPECTS, "fingerprints": sorted(running)}
     )
-    if entry.upstreams.rows.get(row.said["id"]) is row:
-        entry.upstreams.remove(row.said["id"])
-    events.warn(events.Event.UPSTREAM_GONE, row.said["id"], "died")
+    if entry.upstreams.rows.get(row.announcement["id"]) is row:
+        entry.upstreams.remove(row.announcement["id"])
+    events.warn(events.Event.UPSTREAM_GONE, row.announcement["id"], "died")
     outcome = await entry.control.submit(
         commands.ReportDeath(
-            row.said["id"], row.said["incarnation"], sorted(running)
+            row.announcement["id"],
+            row.announcement["incarnation"],
+            sorted(running),
         ),
         timeout_s=REPORT_TIMEOUT_S,
     )
@@ -212,7 +214,7 @@
     try:
         while entry.now() < deadline:
             found = await entry.control.read(
-                "alone", row.said["id"], timeout_s=REPORT_TIMEOUT_S
+                "alone", row.announcement["id"], timeout_s=REPORT_TIMEOUT_S
             )
             if _is_replaced(entry, row):
                 return False
@@ -256,12 +258,12 @@
 async def _isolate(
     entry: core.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> object:
-    request.isolation = row.said["id"]
+    request.isolation = row.announcement["id"]
     outcome = await entry.control.submit(
         commands.Isolate(
             request.fingerprint,
-            row.said["id"],
-            row.said["incarnation"],
+            row.announcement["id"],
+            row.announcement["incarnation"],
             entry.name,
         ),
         timeout_s=REPORT_TIMEOUT_S,
@@ -273,7 +275,7 @@
     else:
         request.isolation = ""
     if isinstance(outcome, outcomes.Stale) and not _is_replaced(entry, row):
-        entry.upstreams.remove(row.said["id"])  # its death is known
+        entry.upstreams.remove(row.announcement["id"])  # its death is known
     return outcome
 
 
--- a/src/_arbutuswalk/entry/syncing.py
+++ b/src/_arbutuswalk/entry/syncing.py
@@ -118,13 +118,13 @@
     """Returns what the control group's decisions need from this entry."""
     now = entry.now()
     known = {
-        row.said["id"]: [
+        row.announcement["id"]: [
             row.name,
-            row.said["version"],
-            row.said["instance"],
-            row.said["domain"],
-            row.said["instance_class"],
-            row.said["slots"],
+            row.announcement["version"],
+            row.announcement["instance"],
+            row.announcement["domain"],
+            row.announcement["instance_class"],
+            row.announcement["slots"],
             row.load,
             row.health(now) is upstreams.Health.USABLE,
         ]
--- a/src/_arbutuswalk/entry/transfers.py
+++ b/src/_arbutuswalk/entry/transfers.py
@@ -18,7 +18,7 @@
 
 def on_leaving(entry: core.Entry, row: upstreams.Row) -> None:
     """Starts moving the work that runs on a leaving upstream."""
-    events.log(events.Event.UPSTREAM_LEAVING, row.said["id"])
+    events.log(events.Event.UPSTREAM_LEAVING, row.announcement["id"])
     entry.hold(asyncio.ensure_future(_move_all(entry, row)))
 
 
@@ -78,12 +78,12 @@
 async def _export(
     entry: core.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> bytes:
-    url = f"http://{row.said['address']}/v1/cache/{request.request_id}"
+    url = f"http://{row.announcement['address']}/v1/cache/{request.request_id}"
     async with entry.session.get(url) as response:
         return await response.read() if response.status == 200 else b""
 
 
 async def _import(entry: core.Entry, row: upstreams.Row, data: bytes) -> bool:
-    url = f"http://{row.said['address']}/v1/cache"
+    url = f"http://{row.announcement['address']}/v1/cache"
     async with entry.session.put(url, data=data) as response:
         return response.status == 200
--- a/src/_arbutuswalk/entry/upkeep.py
+++ b/src/_arbutuswalk/entry/upkeep.py
@@ -36,7 +36,9 @@
 
 def _expire_upstreams(entry: core.Entry) -> None:
     for gone in upstreams.expire(entry.upstreams, entry.now()):
-        events.log(events.Event.UPSTREAM_GONE, gone.row.said["id"], gone.reason)
+        events.log(
+            events.Event.UPSTREAM_GONE, gone.row.announcement["id"], gone.reason
+        )
     while len(entry.reported) > REPORTS_KEPT:
         entry.reported.pop(next(iter(entry.reported)))
 
--- a/src/_arbutuswalk/routing/choose.py
+++ b/src/_arbutuswalk/routing/choose.py
@@ -74,7 +74,9 @@
         weights: Weights of the cost terms.
         avoid: Keys of upstreams to use only if no other has a free slot.
     """
-    with_free_slot = [row for row in rows if row.load < row.said["slots"]]
+    with_free_slot = [
+        row for row in rows if row.load < row.announcement["slots"]
+    ]
     preferred = [row for row in with_free_slot if row.key not in avoid]
     candidates = preferred or with_free_slot
     if not candidates:
@@ -101,7 +103,7 @@
     row: upstreams.Row, mean_load: float, weights: Weights
 ) -> float:
     """Returns the delay by the batch in seconds, constant up to the bound."""
-    slots = max(1, row.said["slots"])
+    slots = max(1, row.announcement["slots"])
     excess_load = row.load + 1 - LOAD_BOUND_FACTOR * (mean_load + 1)
     if excess_load <= 0:
         return weights.crowd_s * mean_load / slots
@@ -127,5 +129,5 @@
 
 
 def _rendezvous_hash(affinity: str, row: upstreams.Row) -> bytes:
-    text = f"{affinity}|{row.said['id']}"
+    text = f"{affinity}|{row.announcement['id']}"
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -23,7 +23,7 @@
     """One upstream as seen by this entry.
 
     Attributes:
-        said: Newest announcement.
+        announcement: Newest announcement.
         heard_at: When it was made, in seconds of this entry's clock.
         failed_at: When a connection to it last failed, or minus infinity.
         leaves_at: When it shuts down, infinity unless it is leaving.
@@ -39,8 +39,10 @@
         price: Price in micro-units per hour, zero if unknown.
     """
 
-    def __init__(self, *, said: announcements.Announcement, heard_at: float):
-        self.said = said
+    def __init__(
+        self, *, announcement: announcements.Announcement, heard_at: float
+    ):
+        self.announcement = announcement
         self.heard_at = heard_at
         self.failed_at = float("-inf")
         self.leaves_at = float("inf")
@@ -50,28 +52,30 @@
         self.unconfirmed_crashes: set[str] = set()
         self.survived_at: dict[str, float] = {}
         self.isolated = ""
-        self.index = prefixes.PrefixIndex(capacity_tokens=said["cache_tokens"])
+        self.index = prefixes.PrefixIndex(
+            capacity_tokens=announcement["cache_tokens"]
+        )
         self.price = 0
 
     @property
     def name(self) -> str:
         """Upstream name in the inventory."""
-        return self.said["upstream"]
+        return self.announcement["upstream"]
 
     @property
     def key(self) -> str:
         """Identity and incarnation."""
-        return f"{self.said['id']}/{self.said['incarnation']}"
+        return f"{self.announcement['id']}/{self.announcement['incarnation']}"
 
     @property
     def load(self) -> int:
         """Estimated running requests: the announced ones and later changes."""
-        reported = self.said["running"] + self.sent - self.ended
+        reported = self.announcement["running"] + self.sent - self.ended
         return max(reported, len(self.active))
 
     def health(self, now: float) -> Health:
         """Returns whether it is eligible for new requests at ``now``."""
-        if self.said["leaving"] or self.leaves_at < float("inf"):
+        if self.announcement["leaving"] or self.leaves_at < float("inf"):
             return Health.LEAVING
         if now - self.heard_at > SUSPECT_AFTER_S:
             return Health.SUSPECT
@@ -133,7 +137,7 @@
 
     def put(self, row: Row) -> None:
         """Adds a row, replacing one of the same identity."""
-        identity = row.said["id"]
+        identity = row.announcement["id"]
         self.remove(identity)
         self.rows[identity] = row
         self.by_name.setdefault(row.name, {})[identity] = row
@@ -147,36 +151,43 @@
 
 
 def announce(
-    table: Table, said: announcements.Announcement, *, heard_at: float
+    table: Table, announcement: announcements.Announcement, *, heard_at: float
 ) -> Joined | Renewed | Refused:
     """Applies an announcement made at ``heard_at`` by this entry's clock."""
-    row = table.rows.get(said["id"])
-    if row is None or row.said["incarnation"] < said["incarnation"]:
-        new_row = Row(said=said, heard_at=heard_at)
-        _note_leaving(new_row, said, heard_at)
+    row = table.rows.get(announcement["id"])
+    if (
+        row is None
+        or row.announcement["incarnation"] < announcement["incarnation"]
+    ):
+        new_row = Row(announcement=announcement, heard_at=heard_at)
+        _note_leaving(new_row, announcement, heard_at)
         table.put(new_row)
         return Joined(row=new_row, replaced=row)
-    if row.said["incarnation"] > said["incarnation"]:
+    if row.announcement["incarnation"] > announcement["incarnation"]:
         return Refused(reason="an incarnation that has been replaced")
-    if row.said["address"] != said["address"]:
+    if row.announcement["address"] != announcement["address"]:
         return Refused(reason="the identity of an upstream elsewhere")
-    if row.said["upstream"] != said["upstream"]:
+    if row.announcement["upstream"] != announcement["upstream"]:
         return Refused(reason="another upstream name in one incarnation")
-    if row.said["sequence"] >= said["sequence"]:
+    if row.announcement["sequence"] >= announcement["sequence"]:
         return Renewed(row=row, now_leaving=False)
     was_leaving = row.health(heard_at) is Health.LEAVING
-    row.said = said
+    row.announcement = announcement
     row.heard_at = max(row.heard_at, heard_at)
     row.sent = row.ended = 0
-    _note_leaving(row, said, heard_at)
-    return Renewed(row=row, now_leaving=said["leaving"] and not was_leaving)
+    _note_leaving(row, announcement, heard_at)
+    return Renewed(
+        row=row, now_leaving=announcement["leaving"] and not was_leaving
+    )
 
 
 def _note_leaving(
-    row: Row, said: announcements.Announcement, heard_at: float
+    row: Row, announcement: announcements.Announcement, heard_at: float
 ) -> None:
-    if said["leaving"]:
-        row.leaves_at = min(row.leaves_at, heard_at + said["leave_in_s"])
+    if announcement["leaving"]:
+        row.leaves_at = min(
+            row.leaves_at, heard_at + announcement["leave_in_s"]
+        )
 
 
 def expire(table: Table, now: float) -> list[Gone]:
@@ -201,7 +212,7 @@
     """
     marked = []
     for row in table.rows.values():
-        notice_s = instances.get(row.said["instance"])
+        notice_s = instances.get(row.announcement["instance"])
         if notice_s is None or row.health(now) is Health.LEAVING:
             continue
         row.leaves_at = now + notice_s
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -186,12 +186,12 @@
         assert edge.announce(said).status == 400
 
     def test_announcement_with_anothers_identity(self, edge):
-        before = edge.entry.upstreams.rows["u0"].said["address"]
+        before = edge.entry.upstreams.rows["u0"].announcement["address"]
         said = worlds.said(
             "u0", "model", address="127.0.0.1:77", incarnation=1, sequence=50
         )
         assert edge.announce(said).status == 409
-        assert edge.entry.upstreams.rows["u0"].said["address"] == before
+        assert edge.entry.upstreams.rows["u0"].announcement["address"] == before
 
     @hypothesis.given(
         method=st.sampled_from(["GET", "POST", "PUT", "DELETE", "X"]),
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -14,14 +14,14 @@
 
 
 def row(identity, running=0, slots=4, cache_tokens=4096, price=0):
-    said = worlds.said(
+    announcement = worlds.said(
         identity,
         "model",
         running=running,
         slots=slots,
         cache_tokens=cache_tokens,
     )
-    new_row = upstreams.Row(said=said, heard_at=0.0)
+    new_row = upstreams.Row(announcement=announcement, heard_at=0.0)
     new_row.price = price
     return new_row
 
@@ -57,7 +57,7 @@
         other = worlds.said("u", "model", address="127.0.0.1:66", sequence=9)
         outcome = upstreams.announce(table, other, heard_at=10.1)
         assert isinstance(outcome, upstreams.Refused)
-        assert table.rows["u"].said["address"] == "127.0.0.1:9"
+        assert table.rows["u"].announcement["address"] == "127.0.0.1:9"
 
     def test_new_incarnation_may_be_elsewhere(self, table):
         other = worlds.said("u", "model", address="1.1.1.1:1", incarnation=2)
@@ -78,7 +78,7 @@
         upstreams.announce(table, newer, heard_at=11.0)
         older = worlds.said("u", "model", sequence=4, running=1)
         upstreams.announce(table, older, heard_at=12.0)
-        assert table.rows["u"].said["running"] == 3
+        assert table.rows["u"].announcement["running"] == 3
         assert table.rows["u"].heard_at == 11.0
 
     def test_missed_heartbeats_make_suspect_then_gone(self, table):
@@ -86,7 +86,7 @@
         assert not upstreams.usable(table, "model", 11.9)
         assert table.rows
         gone = upstreams.expire(table, 14.1)
-        assert [g.row.said["id"] for g in gone] == ["u"]
+        assert [g.row.announcement["id"] for g in gone] == ["u"]
         assert not table.rows
 
     def test_leaving_upstream_gets_no_new_requests(self, table):
@@ -166,7 +166,7 @@
         first = [row(name) for name in "abcde"]
         second = [row(name) for name in "edcba"]
         chosen = [choose.choose(r, features()) for r in (first, second)]
-        assert chosen[0].said["id"] == chosen[1].said["id"]
+        assert chosen[0].announcement["id"] == chosen[1].announcement["id"]
 
     def test_more_expensive_instance_is_used_last(self):
         rows = [row("a", price=3000), row("b", price=1000)]
