--- a/bench/routing.py
+++ b/bench/routing.py
@@ -71,7 +71,7 @@
         row = pick(table.named("model"), job)
         row.sent += 1
         row.active[str(job.number)] = None
-        row.index.note(job.features.blocks)
+        row.index.record(job.features.blocks)
 
         def end():
             row.ended += 1
--- a/src/_arbutuswalk/routing/choose.py
+++ b/src/_arbutuswalk/routing/choose.py
@@ -23,15 +23,15 @@
     Attributes:
         prefill_tokens_per_s: Prefill throughput of an engine.
         service_s: Seconds for which a request holds a slot.
-        crowd_s: Seconds that a full batch adds to a request.
-        price_s: Seconds of latency considered equal to a price one time the
-            cheapest higher.
+        full_batch_delay_s: Seconds that a full batch adds to a request.
+        price_penalty_s: Seconds of latency considered equal to a price one
+            time the cheapest higher.
     """
 
     prefill_tokens_per_s: float = 6000.0
     service_s: float = 2.0
-    crowd_s: float = 0.15
-    price_s: float = 0.02
+    full_batch_delay_s: float = 0.15
+    price_penalty_s: float = 0.02
 
 
 DEFAULT_WEIGHTS = Weights()
@@ -106,8 +106,8 @@
     slots = max(1, row.announcement["slots"])
     excess_load = row.load + 1 - LOAD_BOUND_FACTOR * (mean_load + 1)
     if excess_load <= 0:
-        return weights.crowd_s * mean_load / slots
-    return weights.crowd_s * (mean_load + excess_load * 4) / slots
+        return weights.full_batch_delay_s * mean_load / slots
+    return weights.full_batch_delay_s * (mean_load + excess_load * 4) / slots
 
 
 def _prefill_s(
@@ -125,7 +125,7 @@
 ) -> float:
     if not lowest_price or not row.price:
         return 0.0
-    return weights.price_s * (row.price / lowest_price - 1)
+    return weights.price_penalty_s * (row.price / lowest_price - 1)
 
 
 def _rendezvous_hash(affinity: str, row: upstreams.Row) -> bytes:
--- a/src/_arbutuswalk/routing/prefixes.py
+++ b/src/_arbutuswalk/routing/prefixes.py
@@ -50,7 +50,7 @@
         self.trust = 1.0
         self.last_event = 0
 
-    def note(self, hashes: Sequence[str]) -> None:
+    def record(self, hashes: Sequence[str]) -> None:
         """Records the blocks of a prompt that was sent to the upstream."""
         for block in hashes:
             self.blocks[block] = None
@@ -78,4 +78,4 @@
         self.last_event = sequence
         for block in removed:
             self.blocks.pop(block, None)
-        self.note(stored)
+        self.record(stored)
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -122,8 +122,8 @@
 
     def test_index_forgets_the_least_recently_used(self):
         index = prefixes.PrefixIndex(capacity_tokens=2 * prefixes.BLOCK_TOKENS)
-        index.note(["a", "b"])
-        index.note(["a", "c"])
+        index.record(["a", "b"])
+        index.record(["a", "c"])
         assert index.match(["a", "c"]) == 2
         assert index.match(["b"]) == 0
 
@@ -153,13 +153,13 @@
 
     def test_warm_cache_is_preferred(self):
         rows = [row(name) for name in "abc"]
-        rows[1].index.note(features().blocks)
+        rows[1].index.record(features().blocks)
         assert choose.choose(rows, features()) is rows[1]
 
     def test_overloaded_upstream_with_warm_cache_is_not_chosen(self):
         rows = [row("a", running=14, slots=16), row("b", slots=16)]
         short = features("y" * 300)
-        rows[0].index.note(short.blocks)
+        rows[0].index.record(short.blocks)
         assert choose.choose(rows, short) is rows[1]
 
     def test_entries_choose_alike_without_communication(self):
