--- a/src/_arbutuswalk/entry/core.py
+++ b/src/_arbutuswalk/entry/core.py
@@ -40,7 +40,7 @@
         upstreams: Upstreams that announced themselves.
         queues: Waiting tickets by upstream name.
         budgets: Retry budget by upstream name.
-        version_outcomes: Outcomes by upstream, version and route.
+        evidence: Outcomes by upstream, version and route.
         requests: Model requests by id, kept while they can be resumed.
         by_key: Request id by (workspace, idempotency key).
         calls: Futures of non-repeatable calls that run here, by (workspace,
