--- a/bench/sim.py
+++ b/bench/sim.py
@@ -189,7 +189,7 @@
                         engine.cache_tokens,
                         self.sequence,
                     ),
-                    heard_at=self.clock.now,
+                    announced_at=self.clock.now,
                 )
         self.clock.at(self.clock.now + REPORT_S, self.report)
 
--- a/src/_arbutuswalk/control/queries.py
+++ b/src/_arbutuswalk/control/queries.py
@@ -47,7 +47,7 @@
         name: {
             **row.endpoint._asdict(),
             "running": loads.get(name, (0, 0))[0],
-            "age_s": now - row.heard_at,
+            "age_s": now - row.announced_at,
         }
         for name, row in hub.directory.rows.items()
     }
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -109,7 +109,7 @@
     counts: dict[fleetplan.Key, int] = {}
     for row in rows:
         said = row.endpoint
-        if said.state != directory.READY or now - row.heard_at > SILENT_S:
+        if said.state != directory.READY or now - row.announced_at > SILENT_S:
             continue
         key = (said.domain, said.reclaimable)
         counts[key] = counts.get(key, 0) + 1
--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -73,7 +73,7 @@
 ) -> upstreams.Refused | None:
     """Takes an announcement that was made ``age_s`` seconds ago."""
     heard_at = entry.now() - age_s
-    outcome = upstreams.announce(entry.upstreams, said, heard_at=heard_at)
+    outcome = upstreams.announce(entry.upstreams, said, announced_at=heard_at)
     if isinstance(outcome, upstreams.Refused):
         return outcome
     if isinstance(outcome, upstreams.Joined):
@@ -116,7 +116,7 @@
     }
     if not (replaced.unconfirmed_crashes or replaced.active):
         return
-    if replaced.health(replaced.heard_at) is not upstreams.Health.LEAVING:
+    if replaced.health(replaced.announced_at) is not upstreams.Health.LEAVING:
         report = suspicion.report_death(entry, replaced)
         entry.hold(asyncio.ensure_future(report))
 
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -44,11 +44,11 @@
         return _is_replaced(entry, row)  # by a newer incarnation
     if probe == _OPEN:
         return await _was_restarted(entry, row, broke_at)
-    while entry.now() - row.heard_at < upstreams.SUSPECT_AFTER_S:
-        if row.heard_at > broke_at:
+    while entry.now() - row.announced_at < upstreams.SUSPECT_AFTER_S:
+        if row.announced_at > broke_at:
             return False
         await asyncio.sleep(PAUSE_S)
-    return row.heard_at <= broke_at
+    return row.announced_at <= broke_at
 
 
 async def _was_restarted(
@@ -61,7 +61,7 @@
     while entry.now() - broke_at < upstreams.GONE_AFTER_S:
         if _is_replaced(entry, row):
             return True
-        if row.heard_at > broke_at:
+        if row.announced_at > broke_at:
             return False
         await asyncio.sleep(PAUSE_S)
     return True
--- a/src/_arbutuswalk/relay/placement.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -81,7 +81,7 @@
     )
     running, waiting_tokens = own_load or (0, 0)
     silent_s = MAX_HEARTBEAT_INTERVALS * relay.options.heartbeat_s
-    doubtful = now - row.heard_at > silent_s or endpoint_id in outliers
+    doubtful = now - row.announced_at > silent_s or endpoint_id in outliers
     return selection.Candidate(
         id=endpoint_id,
         running=running + other_load[0],
--- a/src/_arbutuswalk/routing/crashes.py
+++ b/src/_arbutuswalk/routing/crashes.py
@@ -119,7 +119,7 @@
     if row.endpoint.state != directory.READY:
         # The connection was closed by an orderly shutdown.
         return False
-    return row.heard_at < suspect.lost_at
+    return row.announced_at < suspect.lost_at
 
 
 def _expire_deaths(crashes: CrashTracker, now: float) -> None:
--- a/src/_arbutuswalk/routing/directory.py
+++ b/src/_arbutuswalk/routing/directory.py
@@ -49,14 +49,14 @@
 
     Attributes:
         endpoint: The newest announcement.
-        heard_at: Local time of the newest announcement, in seconds.
+        announced_at: Local time of the newest announcement, in seconds.
         revision: Directory revision of the newest announcement.
         change_revision: Directory revision of the newest change other than of
             the sequence or the remaining warm-up time.
     """
 
     endpoint: Endpoint
-    heard_at: float
+    announced_at: float
     revision: int
     change_revision: int
 
@@ -100,7 +100,7 @@
         _put_row(
             directory,
             address_owner.endpoint._replace(state=GONE),
-            address_owner.heard_at,
+            address_owner.announced_at,
         )
     _put_row(directory, merged, now)
     directory.ids_by_address[merged.address] = merged.id
@@ -127,7 +127,7 @@
     expired_ids = [
         endpoint_id
         for endpoint_id, row in directory.rows.items()
-        if now - row.heard_at > silent_s
+        if now - row.announced_at > silent_s
     ]
     for endpoint_id in expired_ids:
         remove(directory, endpoint_id)
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -24,7 +24,7 @@
 
     Attributes:
         announcement: Newest announcement.
-        heard_at: When it was made, in seconds of this entry's clock.
+        announced_at: When it was made, in seconds of this entry's clock.
         failed_at: When a connection to it last failed, or minus infinity.
         leaves_at: When it shuts down, infinity unless it is leaving.
         sent: Attempts sent since the newest announcement.
@@ -40,10 +40,10 @@
     """
 
     def __init__(
-        self, *, announcement: announcements.Announcement, heard_at: float
+        self, *, announcement: announcements.Announcement, announced_at: float
     ):
         self.announcement = announcement
-        self.heard_at = heard_at
+        self.announced_at = announced_at
         self.failed_at = float("-inf")
         self.leaves_at = float("inf")
         self.sent = 0
@@ -77,9 +77,9 @@
         """Returns whether it is eligible for new requests at ``now``."""
         if self.announcement["leaving"] or self.leaves_at < float("inf"):
             return Health.LEAVING
-        if now - self.heard_at > SUSPECT_AFTER_S:
+        if now - self.announced_at > SUSPECT_AFTER_S:
             return Health.SUSPECT
-        if self.failed_at >= self.heard_at:
+        if self.failed_at >= self.announced_at:
             return Health.SUSPECT
         return Health.USABLE
 
@@ -151,16 +151,19 @@
 
 
 def announce(
-    table: Table, announcement: announcements.Announcement, *, heard_at: float
+    table: Table,
+    announcement: announcements.Announcement,
+    *,
+    announced_at: float,
 ) -> Joined | Renewed | Refused:
-    """Applies an announcement made at ``heard_at`` by this entry's clock."""
+    """Applies an announcement; its time is by this entry's clock."""
     row = table.rows.get(announcement["id"])
     if (
         row is None
         or row.announcement["incarnation"] < announcement["incarnation"]
     ):
-        new_row = Row(announcement=announcement, heard_at=heard_at)
-        _note_leaving(new_row, announcement, heard_at)
+        new_row = Row(announcement=announcement, announced_at=announced_at)
+        _note_leaving(new_row, announcement, announced_at)
         table.put(new_row)
         return Joined(row=new_row, replaced=row)
     if row.announcement["incarnation"] > announcement["incarnation"]:
@@ -171,22 +174,22 @@
         return Refused(reason="another upstream name in one incarnation")
     if row.announcement["sequence"] >= announcement["sequence"]:
         return Renewed(row=row, now_leaving=False)
-    was_leaving = row.health(heard_at) is Health.LEAVING
+    was_leaving = row.health(announced_at) is Health.LEAVING
     row.announcement = announcement
-    row.heard_at = max(row.heard_at, heard_at)
+    row.announced_at = max(row.announced_at, announced_at)
     row.sent = row.ended = 0
-    _note_leaving(row, announcement, heard_at)
+    _note_leaving(row, announcement, announced_at)
     return Renewed(
         row=row, now_leaving=announcement["leaving"] and not was_leaving
     )
 
 
 def _note_leaving(
-    row: Row, announcement: announcements.Announcement, heard_at: float
+    row: Row, announcement: announcements.Announcement, announced_at: float
 ) -> None:
     if announcement["leaving"]:
         row.leaves_at = min(
-            row.leaves_at, heard_at + announcement["leave_in_s"]
+            row.leaves_at, announced_at + announcement["leave_in_s"]
         )
 
 
@@ -194,7 +197,7 @@
     """Removes upstreams without a recent announcement."""
     gone = []
     for identity, row in list(table.rows.items()):
-        if now - row.heard_at > GONE_AFTER_S:
+        if now - row.announced_at > GONE_AFTER_S:
             table.remove(identity)
             gone.append(Gone(row, "no announcement"))
     return gone
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -103,14 +103,14 @@
             upstreams.announce(
                 entry.upstreams,
                 worlds.said(identity, "claims"),
-                heard_at=self.loop.time(),
+                announced_at=self.loop.time(),
             )
         self.entries[name] = entry
 
     def _pass(self, seconds):
         for entry in self.entries.values():
             for row in entry.upstreams.rows.values():
-                row.heard_at = self.loop.time() + seconds
+                row.announced_at = self.loop.time() + seconds
                 row.failed_at = float("-inf")
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
--- a/testing/test_directory.py
+++ b/testing/test_directory.py
@@ -58,7 +58,7 @@
         late = make_endpoint(born_ms=1000, sequence=99, version="v0")
         assert not directory.announce(endpoints, late, 1.0)
         assert endpoints.rows["a"].endpoint.version == "v1"
-        assert endpoints.rows["a"].heard_at == 0.0
+        assert endpoints.rows["a"].announced_at == 0.0
 
     def test_an_address_belongs_to_the_latest_start(self):
         endpoints = directory.Directory()
@@ -74,7 +74,7 @@
         directory.announce(endpoints, make_endpoint(), 0.0)
         revision = endpoints.revision
         assert not directory.announce(endpoints, make_endpoint(sequence=2), 1.0)
-        assert endpoints.rows["a"].heard_at == 1.0
+        assert endpoints.rows["a"].announced_at == 1.0
         assert not directory.has_changes_since(endpoints, revision)
         assert directory.updated_since(endpoints, revision)
 
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -21,7 +21,7 @@
         slots=slots,
         cache_tokens=cache_tokens,
     )
-    new_row = upstreams.Row(announcement=announcement, heard_at=0.0)
+    new_row = upstreams.Row(announcement=announcement, announced_at=0.0)
     new_row.price = price
     return new_row
 
@@ -48,38 +48,40 @@
 @pytest.fixture
 def table():
     upstream_table = upstreams.Table()
-    upstreams.announce(upstream_table, worlds.said("u", "model"), heard_at=10.0)
+    upstreams.announce(
+        upstream_table, worlds.said("u", "model"), announced_at=10.0
+    )
     return upstream_table
 
 
 class TestUpstreamTable:
     def test_identity_of_another_is_refused(self, table):
         other = worlds.said("u", "model", address="127.0.0.1:66", sequence=9)
-        outcome = upstreams.announce(table, other, heard_at=10.1)
+        outcome = upstreams.announce(table, other, announced_at=10.1)
         assert isinstance(outcome, upstreams.Refused)
         assert table.rows["u"].announcement["address"] == "127.0.0.1:9"
 
     def test_new_incarnation_may_be_elsewhere(self, table):
         other = worlds.said("u", "model", address="1.1.1.1:1", incarnation=2)
-        outcome = upstreams.announce(table, other, heard_at=10.1)
+        outcome = upstreams.announce(table, other, announced_at=10.1)
         assert isinstance(outcome, upstreams.Joined)
         assert outcome.replaced is not None
 
     def test_old_incarnation_is_refused(self, table):
         newer = worlds.said("u", "model", incarnation=5)
-        upstreams.announce(table, newer, heard_at=10.1)
+        upstreams.announce(table, newer, announced_at=10.1)
         outcome = upstreams.announce(
-            table, worlds.said("u", "model", sequence=99), heard_at=10.2
+            table, worlds.said("u", "model", sequence=99), announced_at=10.2
         )
         assert isinstance(outcome, upstreams.Refused)
 
     def test_older_announcement_changes_nothing(self, table):
         newer = worlds.said("u", "model", sequence=5, running=3)
-        upstreams.announce(table, newer, heard_at=11.0)
+        upstreams.announce(table, newer, announced_at=11.0)
         older = worlds.said("u", "model", sequence=4, running=1)
-        upstreams.announce(table, older, heard_at=12.0)
+        upstreams.announce(table, older, announced_at=12.0)
         assert table.rows["u"].announcement["running"] == 3
-        assert table.rows["u"].heard_at == 11.0
+        assert table.rows["u"].announced_at == 11.0
 
     def test_missed_heartbeats_make_suspect_then_gone(self, table):
         assert upstreams.usable(table, "model", 11.0)
@@ -93,7 +95,7 @@
         leaving = worlds.said(
             "u", "model", sequence=2, leaving=True, leave_in_s=3.0
         )
-        outcome = upstreams.announce(table, leaving, heard_at=10.5)
+        outcome = upstreams.announce(table, leaving, announced_at=10.5)
         assert outcome.now_leaving
         assert not upstreams.usable(table, "model", 10.5)
 
@@ -109,7 +111,7 @@
         known_row.ended = 1
         assert known_row.load == 2
         fresh = worlds.said("u", "model", sequence=2, running=2)
-        upstreams.announce(table, fresh, heard_at=10.4)
+        upstreams.announce(table, fresh, announced_at=10.4)
         assert known_row.load == 2
 
 
--- a/testing/test_suspicion.py
+++ b/testing/test_suspicion.py
@@ -100,7 +100,7 @@
         )
         entry = entries[0]
         said = worlds.said("u0", "model")
-        upstreams.announce(entry.upstreams, said, heard_at=loop.time())
+        upstreams.announce(entry.upstreams, said, announced_at=loop.time())
         row = entry.upstreams.rows["u0"]
         row.unconfirmed_crashes.add("f")
         loop.run_until_complete(suspicion.report_death(entry, row))
@@ -129,7 +129,7 @@
         """After two deaths of four the other two may be reserved at once."""
         entry = entries[0]
         said = worlds.said("u0", "model")
-        upstreams.announce(entry.upstreams, said, heard_at=loop.time())
+        upstreams.announce(entry.upstreams, said, announced_at=loop.time())
         row = entry.upstreams.rows["u0"]
         row.isolated = "suspect"
         request = self.request(entry)
