--- a/bench/routing.py
+++ b/bench/routing.py
@@ -68,10 +68,10 @@
 
     def arrive(job):
         table = pool.tables[job.number % ENTRIES]
-        row = pick(table.named("model"), job)
+        row = pick(table.rows_for("model"), job)
         row.sent += 1
         row.active[str(job.number)] = None
-        row.index.record(job.features.blocks)
+        row.prefix_index.record(job.features.blocks)
 
         def end():
             row.ended += 1
--- a/bench/sim.py
+++ b/bench/sim.py
@@ -172,7 +172,7 @@
         for table in self.tables:
             row = table.rows.get(engine.identity)
             if row is not None:
-                row.index.apply_event(self.sequence, stored, removed)
+                row.prefix_index.apply_event(self.sequence, stored, removed)
 
     def report(self):
         self.sequence += 1
--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -155,7 +155,9 @@
     row = entry.upstreams.rows.get(event["id"])
     if row is None or row.announcement["incarnation"] != event["incarnation"]:
         return
-    row.index.apply_event(event["sequence"], event["stored"], event["removed"])
+    row.prefix_index.apply_event(
+        event["sequence"], event["stored"], event["removed"]
+    )
 
 
 def _refuse(title: str, detail: str, status: int) -> responses.Response:
--- a/src/_arbutuswalk/entry/links.py
+++ b/src/_arbutuswalk/entry/links.py
@@ -86,8 +86,8 @@
                 "load": row.load,
                 "active": len(row.active),
                 "isolated": row.isolated,
-                "blocks": len(row.index.blocks),
-                "trust": row.index.trust,
+                "blocks": len(row.prefix_index.blocks),
+                "trust": row.prefix_index.trust,
             }
             for identity, row in entry.upstreams.rows.items()
         },
--- a/src/_arbutuswalk/entry/placing.py
+++ b/src/_arbutuswalk/entry/placing.py
@@ -156,7 +156,7 @@
     """Counts a request on an upstream."""
     row.sent += 1
     row.active[request.request_id] = None
-    row.index.record(request.features.blocks)
+    row.prefix_index.record(request.features.blocks)
 
 
 def release(
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -197,7 +197,7 @@
     rows = placing.candidates(
         entry, request.upstream, request.route, request.request_id
     )
-    named = entry.upstreams.named(request.upstream)
+    named = entry.upstreams.rows_for(request.upstream)
     taken = sum(bool(row.isolated) for row in named)
     most = max(1, int(len(named) * MAX_ISOLATED))
     return rows if taken < most else []
--- a/src/_arbutuswalk/entry/transfers.py
+++ b/src/_arbutuswalk/entry/transfers.py
@@ -69,7 +69,7 @@
         async with asyncio.timeout(timeout_s):
             data = await _export(entry, row, request)
             if data and await _import(entry, target, data):
-                target.index.record(request.features.blocks)
+                target.prefix_index.record(request.features.blocks)
                 entry.metrics.count("caches_moved")
     except (TimeoutError, aiohttp.ClientError, OSError):
         entry.metrics.count("caches_not_moved")
--- a/src/_arbutuswalk/routing/choose.py
+++ b/src/_arbutuswalk/routing/choose.py
@@ -85,7 +85,12 @@
         return candidates[0]
     mean_load = sum(row.load for row in candidates) / len(candidates)
     lowest_price = min(
-        (row.price for row in candidates if row.price), default=0
+        (
+            row.price_micro_per_hour
+            for row in candidates
+            if row.price_micro_per_hour
+        ),
+        default=0,
     )
 
     def cost(row: upstreams.Row) -> tuple[float, bytes]:
@@ -113,9 +118,11 @@
 def _prefill_s(
     row: upstreams.Row, features: Features, weights: Weights
 ) -> float:
-    cached_tokens = row.index.match(features.blocks) * prefixes.BLOCK_TOKENS
+    cached_tokens = (
+        row.prefix_index.match(features.blocks) * prefixes.BLOCK_TOKENS
+    )
     uncached_tokens = max(
-        0.0, features.prompt_tokens - cached_tokens * row.index.trust
+        0.0, features.prompt_tokens - cached_tokens * row.prefix_index.trust
     )
     return uncached_tokens / weights.prefill_tokens_per_s
 
@@ -123,9 +130,11 @@
 def _price_penalty_s(
     row: upstreams.Row, lowest_price: int, weights: Weights
 ) -> float:
-    if not lowest_price or not row.price:
+    if not lowest_price or not row.price_micro_per_hour:
         return 0.0
-    return weights.price_penalty_s * (row.price / lowest_price - 1)
+    return weights.price_penalty_s * (
+        row.price_micro_per_hour / lowest_price - 1
+    )
 
 
 def _rendezvous_hash(affinity: str, row: upstreams.Row) -> bytes:
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -35,8 +35,8 @@
         survived_at: When the upstream of an attempt with a lost connection was
             found alive, in seconds, by fingerprint.
         isolated: Fingerprint of the request it is reserved for, or empty.
-        index: Prefixes that are probably cached there.
-        price: Price in micro-units per hour, zero if unknown.
+        prefix_index: Prefixes that are probably cached there.
+        price_micro_per_hour: Price in micro-units, zero if unknown.
     """
 
     def __init__(
@@ -52,10 +52,10 @@
         self.unconfirmed_crashes: set[str] = set()
         self.survived_at: dict[str, float] = {}
         self.isolated = ""
-        self.index = prefixes.PrefixIndex(
+        self.prefix_index = prefixes.PrefixIndex(
             capacity_tokens=announcement["cache_tokens"]
         )
-        self.price = 0
+        self.price_micro_per_hour = 0
 
     @property
     def name(self) -> str:
@@ -131,7 +131,7 @@
         self.rows: dict[str, Row] = {}
         self.by_name: dict[str, dict[str, Row]] = {}
 
-    def named(self, name: str) -> list[Row]:
+    def rows_for(self, name: str) -> list[Row]:
         """Returns the rows of an inventory name."""
         return list(self.by_name.get(name, {}).values())
 
@@ -227,7 +227,7 @@
     """Returns the upstreams of a name that are eligible for new requests."""
     return [
         row
-        for row in table.named(name)
+        for row in table.rows_for(name)
         if row.health(now) is Health.USABLE and not row.isolated
     ]
 
@@ -239,6 +239,6 @@
     or has been confirmed to crash upstreams.
     """
     usable_rows = [
-        row for row in table.named(name) if row.health(now) is Health.USABLE
+        row for row in table.rows_for(name) if row.health(now) is Health.USABLE
     ]
     return bool(usable_rows) and all(row.isolated for row in usable_rows)
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -22,7 +22,7 @@
         cache_tokens=cache_tokens,
     )
     new_row = upstreams.Row(announcement=announcement, announced_at=0.0)
-    new_row.price = price
+    new_row.price_micro_per_hour = price
     return new_row
 
 
@@ -155,13 +155,13 @@
 
     def test_warm_cache_is_preferred(self):
         rows = [row(name) for name in "abc"]
-        rows[1].index.record(features().blocks)
+        rows[1].prefix_index.record(features().blocks)
         assert choose.choose(rows, features()) is rows[1]
 
     def test_overloaded_upstream_with_warm_cache_is_not_chosen(self):
         rows = [row("a", running=14, slots=16), row("b", slots=16)]
         short = features("y" * 300)
-        rows[0].index.record(short.blocks)
+        rows[0].prefix_index.record(short.blocks)
         assert choose.choose(rows, short) is rows[1]
 
     def test_entries_choose_alike_without_communication(self):
