--- a/src/_arbutuswalk/relay/admission.py
+++ b/src/_arbutuswalk/relay/admission.py
@@ -69,22 +69,22 @@
     relay: relay_state.Relay, incoming: IncomingRequest
 ) -> requests.Request | Refusal:
     """Returns the request to relay, or its refusal."""
-    if relay.table is None:
+    if relay.route_table is None:
         reason = "no configuration yet"
         return Refusal(STATUS_UNAVAILABLE, reason, STARTUP_RETRY_AFTER_S)
-    route = routetable.find(relay.table, incoming.host, incoming.path)
+    route = routetable.find(relay.route_table, incoming.host, incoming.path)
     if route is None:
         return Refusal(STATUS_NOT_FOUND, "no such route")
     if not incoming.id:
         return Refusal(STATUS_BAD_REQUEST, "the request bears no id")
-    max_body_bytes = relay.table.config.limits.max_body_bytes
+    max_body_bytes = relay.route_table.config.limits.max_body_bytes
     if max_body_bytes and len(incoming.body) > max_body_bytes:
         return Refusal(
             STATUS_CONTENT_TOO_LARGE, f"body over {max_body_bytes} bytes"
         )
     workspace = None
-    if relay.table.workspaces_by_key and not route.anonymous:
-        workspace = relay.table.workspaces_by_key.get(incoming.key)
+    if relay.route_table.workspaces_by_key and not route.anonymous:
+        workspace = relay.route_table.workspaces_by_key.get(incoming.key)
         if workspace is None:
             return Refusal(STATUS_UNAUTHORIZED, "unknown key")
     request = _make_request(relay, incoming, route, workspace)
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -158,7 +158,7 @@
             if isinstance(reply, link.TimedOut):
                 # The connection may be dead while a new one would work.
                 feed.link.close("timed out")
-            known = self.relay.table is not None
+            known = self.relay.route_table is not None
             await asyncio.sleep(
                 RETRY_PAUSE_S if known else STARTUP_RETRY_PAUSE_S
             )
@@ -300,7 +300,7 @@
     before = relay.routes_version
     if config.version <= before:
         return
-    relay.table = routetable.RouteTable(config=config)
+    relay.route_table = routetable.RouteTable(config=config)
     events.record(events.Event.ROUTES_IN_FORCE, config.version, before, source)
 
 
--- a/src/_arbutuswalk/relay/relay_state.py
+++ b/src/_arbutuswalk/relay/relay_state.py
@@ -93,7 +93,7 @@
         wall: Wall clock.
         rng: Source of random numbers.
         pool: Connections to endpoints.
-        table: Route configuration, None before the first.
+        route_table: Route configuration, None before the first.
         directory: Known endpoints.
         loads: Load from this entry by endpoint.
         other_loads: Load from other entries by endpoint.
@@ -137,7 +137,7 @@
         self.rng = rng or random.Random()
         self.incarnation = int(wall() * clock.MS_PER_S)
         self.pool = pool.Pool(read=dialect.read, now=now)
-        self.table: routetable.RouteTable | None = None
+        self.route_table: routetable.RouteTable | None = None
         self.directory = directory.Directory()
         self.loads: dict[str, Load] = {}
         self.other_loads: dict[str, Load] = {}
@@ -163,12 +163,12 @@
     @property
     def routes_version(self) -> int:
         """Version of the route configuration in use, 0 if there is none."""
-        return self.table.config.version if self.table else 0
+        return self.route_table.config.version if self.route_table else 0
 
     @property
     def ready(self) -> bool:
         """Whether this entry accepts requests."""
-        return self.table is not None and not self.draining
+        return self.route_table is not None and not self.draining
 
     def add_load(self, endpoint: str, running: int, tokens: int) -> None:
         """Adds the amounts, which may be negative, to an endpoint's load."""
--- a/testing/relays.py
+++ b/testing/relays.py
@@ -78,7 +78,7 @@
 
 
 def make_request(relay, **changes):
-    route = changes.pop("route", relay.table.config.routes[0])
+    route = changes.pop("route", relay.route_table.config.routes[0])
     now = relay.now()
     values = {
         "id": "attempt-1",
@@ -88,7 +88,7 @@
         "body": b"body",
         "route": route,
         "upstream": "ops",
-        "workspace": relay.table.config.workspaces[0],
+        "workspace": relay.route_table.config.workspaces[0],
         "came_at": now,
         "deadline": now + route.timeout_s,
         "waits_s": route.timeout_s,
--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -123,18 +123,18 @@
 
     async def test_without_a_configuration_it_says_503_and_never_404(self):
         async with Front() as front:
-            front.relay.table = None
+            front.relay.route_table = None
             status, head = await front.ask(GOOD)
             assert status == 503
             assert b"retry-after" in head
 
     async def test_a_new_process_waits_for_its_configuration(self):
         async with Front() as front:
-            table, front.relay.table = front.relay.table, None
+            table, front.relay.route_table = front.relay.route_table, None
             front.relay.started_at = front.relay.now()
             asking = asyncio.ensure_future(front.ask(GOOD))
             await asyncio.sleep(0.05)
-            front.relay.table = table
+            front.relay.route_table = table
             front.relay.notify_waiters()
             assert (await asking)[0] == 200
 
@@ -271,7 +271,7 @@
         relay = relays.make_relay()
         relay.draining = draining
         if not known:
-            relay.table = None
+            relay.route_table = None
         sent = []
 
         async def send(message):
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -100,11 +100,11 @@
 class TestReplies:
     def test_an_older_configuration_is_not_applied(self):
         watcher, feed = make_watcher()
-        before = watcher.relay.table
+        before = watcher.relay.route_table
         config = json.loads(json.dumps(relays.make_config(version=1)._asdict()))
         watcher._apply_fetched_routes(config, "test")
         watcher._apply_reply(feed, make_reply(routes_version=1))
-        assert watcher.relay.table is before
+        assert watcher.relay.route_table is before
         assert watcher.fetch_task is None
 
     async def test_a_newer_configuration_is_fetched_and_not_requested_again(
