--- a/src/_arbutuswalk/relay/admission.py
+++ b/src/_arbutuswalk/relay/admission.py
@@ -161,10 +161,10 @@
     rate, burst = workspace.rate_per_s, workspace.burst
     if workspace.by_tokens:
         rate, burst = quota.loosen(rate, burst, relay.options.quota)
-    bucket = relay.buckets.get(workspace.name)
+    bucket = relay.quota_buckets.get(workspace.name)
     if bucket is None:
         bucket = quota.Bucket(rate=rate, burst=burst, now=now)
-        relay.buckets[workspace.name] = bucket
+        relay.quota_buckets[workspace.name] = bucket
     elif (bucket.rate, bucket.burst) != (rate, burst):
         bucket.resize(rate, burst, now)
     return bucket
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -42,12 +42,12 @@
         self,
         *,
         relay: relay_state.Relay,
-        to_caller: delivery.Delivery,
+        caller_delivery: delivery.Delivery,
         chosen: placement.Placement,
     ):
         self.relay = relay
-        self.delivery = to_caller
-        self.request = to_caller.request
+        self.delivery = caller_delivery
+        self.request = caller_delivery.request
         self.endpoint = chosen.endpoint
         self.unread_tokens = chosen.tokens
         self.started_at = relay.now()
--- a/src/_arbutuswalk/relay/config_fetch.py
+++ b/src/_arbutuswalk/relay/config_fetch.py
@@ -29,13 +29,13 @@
     Attributes:
         address: Link address of the member.
         link: Link to the member.
-        answered: Whether the last watch succeeded.
+        connected: Whether the last watch succeeded.
         routes_version: Newest configuration version announced by the member.
     """
 
     address: str
     link: Any
-    answered: bool
+    connected: bool
     routes_version: int
 
 
@@ -74,7 +74,7 @@
         newer_members = [
             member
             for member in members()
-            if member.answered and member.routes_version > version_in_use()
+            if member.connected and member.routes_version > version_in_use()
         ]
         if not newer_members:
             return
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -43,13 +43,13 @@
         link: Link to the process.
         session: Identifies its start; revisions are valid within a session.
         revision: Newest revision of its directory received.
-        heard_at: When it last answered, in seconds.
+        last_answer_at: When it last answered, in seconds.
         term: Term in which it is the leader, 0 if it is not.
-        answered: Whether the last watch succeeded.
+        connected: Whether the last watch succeeded.
         routes_version: Newest route configuration version it announced.
-        wall_offset: Its wall clock minus ours, None before it answered.
+        clock_offset_s: Its wall clock minus ours, None before it answered.
         reported_loads: Own loads last reported to it, by endpoint.
-        reported_taken: Own quota use last reported to it, by workspace.
+        reported_quota_use: Own quota use last reported to it, by workspace.
         task: Task that watches it.
     """
 
@@ -58,12 +58,12 @@
         self.link = link.Link(address=address)
         self.session = ""
         self.revision = 0
-        self.heard_at = now
-        self.answered = False
+        self.last_answer_at = now
+        self.connected = False
         self.routes_version = 0
         self.term = 0
-        self.wall_offset: float | None = None
-        self.reported_taken: dict[str, float] = {}
+        self.clock_offset_s: float | None = None
+        self.reported_quota_use: dict[str, float] = {}
         self.reported_loads: dict[str, relay_state.Load] = {}
         self.task: asyncio.Task | None = None
 
@@ -97,7 +97,7 @@
         for address in self.seeds:
             self._watch_address(address)
         for address, feed in list(self.feeds.items()):
-            timed_out = now - feed.heard_at > UNLISTED_PROCESS_TIMEOUT_S
+            timed_out = now - feed.last_answer_at > UNLISTED_PROCESS_TIMEOUT_S
             if timed_out and address not in self.seeds:
                 del self.feeds[address]
                 feed.task.cancel()
@@ -119,7 +119,7 @@
 
         Without control, the entry continues with the known endpoints.
         """
-        if not any(feed.answered for feed in self.feeds.values()):
+        if not any(feed.connected for feed in self.feeds.values()):
             self.connected_since = None
             return
         if self.connected_since is None:
@@ -150,8 +150,8 @@
             if isinstance(reply, ttypes.WatchReply):
                 self._apply_reply(feed, reply)
                 continue
-            if feed.answered:
-                feed.answered = False
+            if feed.connected:
+                feed.connected = False
                 reason = getattr(reply, "reason", "no answer")
                 events.record(events.Event.CONTROL_LOST, feed.address, reason)
             feed.term = 0
@@ -165,7 +165,7 @@
 
     def _make_watch(self, feed: ControlFeed) -> ttypes.Watch:
         report = self._report()
-        feed.reported_taken = report["taken"]
+        feed.reported_quota_use = report["taken"]
         feed.reported_loads = dict(report["loads"])
         return ttypes.Watch(
             entry=self.relay.name,
@@ -193,7 +193,8 @@
             },
             "usage": relay.usage.counts,
             "taken": {
-                name: bucket.taken for name, bucket in relay.buckets.items()
+                name: bucket.taken
+                for name, bucket in relay.quota_buckets.items()
             },
             "outcomes": [
                 [
@@ -210,15 +211,15 @@
     def _apply_reply(self, feed: ControlFeed, reply: ttypes.WatchReply) -> None:
         now = self.relay.now()
         news = packed.unpack(reply.news)
-        if not feed.answered:
-            feed.answered = True
+        if not feed.connected:
+            feed.connected = True
             events.record(
                 events.Event.CONTROL_FOUND, feed.address, news["term"]
             )
-        feed.heard_at = now
+        feed.last_answer_at = now
         feed.session, feed.revision = reply.session, reply.version
         feed.term = news["term"]
-        feed.wall_offset = news["wall"] - self.relay.wall()
+        feed.clock_offset_s = news["wall"] - self.relay.wall()
         for fields in news["endpoints"]:
             announcement = directory.from_json(fields)
             directory.announce(self.relay.directory, announcement, now)
@@ -278,16 +279,16 @@
     ) -> None:
         """Records other entries' quota use: the totals minus our own share."""
         now = self.relay.now()
-        for name, bucket in self.relay.buckets.items():
-            own = feed.reported_taken.get(name, 0.0)
+        for name, bucket in self.relay.quota_buckets.items():
+            own = feed.reported_quota_use.get(name, 0.0)
             bucket.hear(taken.get(name, 0.0) - own, now)
 
     def _correct_clock(self) -> None:
         """Corrects a clock step by the median offset of all clocks."""
         offsets = [
-            feed.wall_offset
+            feed.clock_offset_s
             for feed in self.feeds.values()
-            if feed.wall_offset is not None
+            if feed.clock_offset_s is not None
         ]
         self.relay.usage.clock_offset_s = statistics.median([0.0, *offsets])
 
--- a/src/_arbutuswalk/relay/relay_state.py
+++ b/src/_arbutuswalk/relay/relay_state.py
@@ -104,7 +104,7 @@
         recent_parts: Endpoints that recently received shared prompt parts.
         suspect_until: Time until which an endpoint is used last, by id.
         retry_windows: Retry window by upstream.
-        buckets: Quota bucket by workspace.
+        quota_buckets: Quota bucket by workspace.
         usage: Started requests by window and workspace.
         outcomes: Outcomes by (upstream, version).
         average_first_byte_s: Average time to the first byte, by route.
@@ -148,7 +148,7 @@
         self.refused_fingerprints: frozenset[str] = frozenset()
         self.suspect_until: dict[str, float] = {}
         self.retry_windows: dict[str, retries.RetryWindow] = {}
-        self.buckets: dict[str, quota.Bucket] = {}
+        self.quota_buckets: dict[str, quota.Bucket] = {}
         self.usage = usage.Usage(window_s=options.usage_window_s)
         self.outcomes: dict[tuple[str, str], Outcomes] = {}
         self.average_first_byte_s: dict[str, float] = {}
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -20,7 +20,7 @@
 async def relay_request(
     relay: relay_state.Relay,
     request: requests.Request,
-    to_caller: delivery.Delivery,
+    caller_delivery: delivery.Delivery,
 ) -> None:
     """Sends a request to endpoints until it is answered or has failed."""
     relay.retry_window(request.upstream).note_request(relay.now())
@@ -37,15 +37,15 @@
             break
         endpoint_id = chosen.endpoint.id
         tried.add(endpoint_id)
-        if to_caller.started:
+        if caller_delivery.started:
             events.record(
                 events.Event.RESUMED,
                 request.id,
                 endpoint_id,
-                to_caller.last_event,
+                caller_delivery.last_event,
             )
         attempt = attempts.Attempt(
-            relay=relay, to_caller=to_caller, chosen=chosen
+            relay=relay, caller_delivery=caller_delivery, chosen=chosen
         )
         result = await attempt.run()
         tally = results.tally_result(tally, result)
@@ -58,7 +58,7 @@
         _record_caller_left(relay, request, endpoint_id)
         return
     await _send_final_answer(
-        relay, to_caller, result, last_answer, tally, endpoint_id
+        relay, caller_delivery, result, last_answer, tally, endpoint_id
     )
 
 
@@ -91,22 +91,24 @@
 
 async def _send_final_answer(
     relay: relay_state.Relay,
-    to_caller: delivery.Delivery,
+    caller_delivery: delivery.Delivery,
     result: results.Result,
     last_answer: results.Answered | None,
     tally: results.Tally,
     endpoint_id: str,
 ) -> None:
-    request = to_caller.request
+    request = caller_delivery.request
     took_ms = round((relay.now() - request.came_at) * 1000)
     route = request.route.name
     if isinstance(result, results.Delivered):
-        first_ms = round((to_caller.first_event_at - request.came_at) * 1000)
+        first_ms = round(
+            (caller_delivery.first_event_at - request.came_at) * 1000
+        )
         _record_answer(
             relay, request, endpoint_id, 200, tally, took_ms, first_ms
         )
         return
-    if to_caller.started:
+    if caller_delivery.started:
         events.record(
             events.Event.BROKEN_OFF,
             request.id,
@@ -120,7 +122,7 @@
         _record_answer(
             relay, request, endpoint_id, last_answer.status, tally, took_ms
         )
-        await to_caller.send_answer(
+        await caller_delivery.send_answer(
             last_answer.status, last_answer.headers, last_answer.body
         )
         return
@@ -128,7 +130,7 @@
     if status == results.STATUS_UNAVAILABLE:
         await refuse(
             relay,
-            to_caller,
+            caller_delivery,
             status=status,
             reason=_result_reason(result),
             retry_after_s=RETRY_AFTER_S,
@@ -146,21 +148,21 @@
         took_ms,
     )
     relay.metrics.count("failed", f'status="{status}"')
-    await to_caller.send_local_answer(
+    await caller_delivery.send_local_answer(
         *problem_answer(status, _result_reason(result))
     )
 
 
 async def refuse(
     relay: relay_state.Relay,
-    to_caller: delivery.Delivery,
+    caller_delivery: delivery.Delivery,
     *,
     status: int,
     reason: str,
     retry_after_s: float = 0.0,
 ) -> None:
     """Refuses a request that has not run and will not be run."""
-    request = to_caller.request
+    request = caller_delivery.request
     record_refusal(
         relay,
         request.id,
@@ -169,7 +171,7 @@
         route=request.route.name,
         elapsed_s=relay.now() - request.came_at,
     )
-    await to_caller.send_local_answer(
+    await caller_delivery.send_local_answer(
         *problem_answer(status, reason, retry_after_s)
     )
 
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -17,7 +17,7 @@
     def __init__(self, name, version=7, values=None, failing_calls=()):
         self.address = name
         self.link = self
-        self.answered = True
+        self.connected = True
         self.routes_version = version
         self.held_version = version
         self.data = packed.pack(values or CONFIG)
@@ -118,7 +118,7 @@
 
     async def test_it_ends_when_no_member_has_a_newer_version(self):
         entry, disconnected = FakeEntry(), FakeMember("a")
-        disconnected.answered = False
+        disconnected.connected = False
         await fetch(entry, disconnected, FakeMember("b", version=3))
         assert entry.applied == []
 
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -25,8 +25,8 @@
     started = [await each.start(relay) for each in endpoints]
     caller = relays.RecordingCaller()
     request = relays.make_request(relay, **changes)
-    to_caller = caller.deliver(relay, request)
-    await relaying.relay_request(relay, request, to_caller)
+    caller_delivery = caller.deliver(relay, request)
+    await relaying.relay_request(relay, request, caller_delivery)
     for each in started:
         each.stop()
     relay.pool.close()
@@ -336,13 +336,13 @@
 
         endpoint = await relays.Endpoint(endless).start(relay)
         request = relays.make_request(relay)
-        to_caller = relays.RecordingCaller().deliver(relay, request)
+        caller_delivery = relays.RecordingCaller().deliver(relay, request)
         task = asyncio.ensure_future(
-            relaying.relay_request(relay, request, to_caller)
+            relaying.relay_request(relay, request, caller_delivery)
         )
-        while not to_caller.event_count:
+        while not caller_delivery.event_count:
             await asyncio.sleep(0.01)
-        to_caller.mark_caller_left()
+        caller_delivery.mark_caller_left()
         await asyncio.wait_for(task, 10)
         await asyncio.wait_for(endpoint.lost.wait(), 10)
         endpoint.stop()
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -57,10 +57,10 @@
         watcher._apply_reply(
             feed, make_reply(endpoints=[test_crashes.make_endpoint("a")])
         )
-        feed.answered = False
+        feed.connected = False
         for _ in range(200):
             watcher.relay.now.time += 0.5
-            feed.heard_at = watcher.relay.now()
+            feed.last_answer_at = watcher.relay.now()
             watcher.tick()
         assert "a" in watcher.relay.directory.rows
 
@@ -69,9 +69,9 @@
         watcher._apply_reply(
             feed, make_reply(endpoints=[test_crashes.make_endpoint("a")])
         )
-        feed.answered = False
+        feed.connected = False
         watcher.relay.now.time += 100
-        feed.heard_at = watcher.relay.now()
+        feed.last_answer_at = watcher.relay.now()
         watcher.tick()
         watcher._apply_reply(feed, make_reply())
         watcher.tick()
