--- a/bench/relay.py
+++ b/bench/relay.py
@@ -14,7 +14,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path[:0] = [str(ROOT / "platform"), str(ROOT / "testing")]
 
-import relays  # noqa: E402
+import relay_fixtures  # noqa: E402
 from arbutuswalk_platform import callers  # noqa: E402
 from arbutuswalk_platform import server  # noqa: E402
 
@@ -55,8 +55,8 @@
 
 async def run_requests():
     """Returns microseconds of processor for each relayed request."""
-    relay = relays.make_relay()
-    endpoint = await relays.Endpoint().start(relay)
+    relay = relay_fixtures.make_relay()
+    endpoint = await relay_fixtures.ScriptedEndpoint().start(relay)
     direct = endpoint.server.sockets[0].getsockname()[1]
     listener = server.Listener(
         address="127.0.0.1:0", app=callers.make_app(relay)
@@ -72,11 +72,14 @@
 
 async def run_events():
     """Returns microseconds of processor for each relayed event."""
-    route = relays.make_route(kind=routeconfig.STREAM, timeout_s=60.0)
-    relay = relays.make_relay(relays.make_config(route))
+    route = relay_fixtures.make_route(kind=routeconfig.STREAM, timeout_s=60.0)
+    relay = relay_fixtures.make_relay(relay_fixtures.make_config(route))
     events = [(number, "text " * 10) for number in range(EVENTS)]
-    steps = [relays.stream(*events), relays.stream(*events)]
-    endpoint = await relays.Endpoint(*steps).start(relay)
+    steps = [
+        relay_fixtures.send_stream(*events),
+        relay_fixtures.send_stream(*events),
+    ]
+    endpoint = await relay_fixtures.ScriptedEndpoint(*steps).start(relay)
     direct = endpoint.server.sockets[0].getsockname()[1]
     listener = server.Listener(
         address="127.0.0.1:0", app=callers.make_app(relay)
--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 import processes
-import relays
+import relay_fixtures
 
 ROOT = pathlib.Path(__file__).parent.parent
 HOST = "h.example"
@@ -197,7 +197,7 @@
             self.start_control(ip)
         for ip in self.entries:
             self.start_entry(ip)
-        self.endpoint = relays.Endpoint(name="i-1")
+        self.endpoint = relay_fixtures.ScriptedEndpoint(name="i-1")
         self.beat = await self.announce(self.endpoint)
         status, _ = await self.operate(
             "POST", "/v1/Configuration.Replace", config(2, *paths)
--- a/testing/relays.py
+++ b/testing/relay_fixtures.py
@@ -122,7 +122,7 @@
         return delivery.Delivery(relay=relay, request=request, caller=caller)
 
 
-class Endpoint:
+class ScriptedEndpoint:
     """A scripted endpoint; each request runs the next step of the script.
 
     A step is called with the request head and the writer of the connection.
@@ -133,10 +133,10 @@
         self.name = name
         self.upstream = upstream
         self.announced = announced
-        self.heads = []
-        self.bodies = []
-        self.connections = 0
-        self.lost = asyncio.Event()
+        self.request_heads = []
+        self.request_bodies = []
+        self.connection_count = 0
+        self.connection_lost = asyncio.Event()
         self.server = None
 
     async def start(self, relay):
@@ -158,7 +158,7 @@
         return self
 
     async def serve(self, reader, writer):
-        self.connections += 1
+        self.connection_count += 1
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -166,9 +166,9 @@
                 for line in head.lower().split("\r\n"):
                     if line.startswith("content-length:"):
                         size = int(line.partition(":")[2])
-                self.bodies.append(await reader.readexactly(size))
-                self.heads.append(head)
-                step = self.steps.pop(0) if self.steps else answer()
+                self.request_bodies.append(await reader.readexactly(size))
+                self.request_heads.append(head)
+                step = self.steps.pop(0) if self.steps else send_answer()
                 await step(head, writer)
                 if writer.is_closing():
                     return
@@ -177,7 +177,7 @@
             asyncio.CancelledError,
             ConnectionError,
         ):
-            self.lost.set()
+            self.connection_lost.set()
         finally:
             writer.close()
 
@@ -185,7 +185,7 @@
         self.server.close()
 
 
-def answer(body=b"ok", status="200 OK", echo="attempt-1", extra=""):
+def send_answer(body=b"ok", status="200 OK", echo="attempt-1", extra=""):
     async def step(head, writer):
         writer.write(
             f"HTTP/1.1 {status}\r\nX-Attempt-Id: {echo}\r\n"
@@ -206,7 +206,7 @@
     writer.transport.abort()
 
 
-def raw(data, close=False, reset=False, wait_s=0.0):
+def send_bytes(data, close=False, reset=False, wait_s=0.0):
     async def step(head, writer):
         writer.write(data)
         await writer.drain()
@@ -219,14 +219,14 @@
     return step
 
 
-def silent(wait_s=30.0):
+def stay_silent(wait_s=30.0):
     async def step(head, writer):
         await asyncio.sleep(wait_s)
 
     return step
 
 
-def stream(*events, end=True, close=False, extra=""):
+def send_stream(*events, end=True, close=False, extra=""):
     """Returns a step that sends (id, text) events as chunks."""
 
     async def step(head, writer):
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -1,6 +1,6 @@
 """Detection of requests that crash endpoints, without false positives."""
 
-import relays
+import relay_fixtures
 
 from _arbutuswalk.relay import admission
 from _arbutuswalk.relay import relaying
@@ -77,7 +77,7 @@
 
 class TestRelay:
     async def test_a_refused_request_reaches_no_endpoint(self):
-        relay = relays.make_relay()
+        relay = relay_fixtures.make_relay()
         arrival = admission.IncomingRequest(
             id="attempt-1",
             method="POST",
@@ -101,11 +101,13 @@
         assert not isinstance(other, admission.Refusal)
 
     async def test_a_lost_connection_makes_a_suspect(self):
-        relay = relays.make_relay()
-        broken = relays.raw(b"", reset=True)
-        endpoint = await relays.Endpoint(broken, broken).start(relay)
-        request = relays.make_request(relay)
-        caller = relays.RecordingCaller()
+        relay = relay_fixtures.make_relay()
+        broken = relay_fixtures.send_bytes(b"", reset=True)
+        endpoint = await relay_fixtures.ScriptedEndpoint(broken, broken).start(
+            relay
+        )
+        request = relay_fixtures.make_request(relay)
+        caller = relay_fixtures.RecordingCaller()
         await relaying.relay_request(
             relay, request, caller.deliver(relay, request)
         )
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-import relays
+import relay_fixtures
 
 from _arbutuswalk.relay import results
 from _arbutuswalk.routing import outliers
@@ -412,7 +412,7 @@
     def test_only_what_may_be_repeated_is_sent_again(
         self, kind, resumable, result, again
     ):
-        route = relays.make_route(kind=kind, resumable=resumable)
+        route = relay_fixtures.make_route(kind=kind, resumable=resumable)
         tally = results.tally_result(results.Tally(), result)
         assert results.may_retry(result, route, tally, 1.0) == again
 
@@ -424,7 +424,7 @@
         assert results.final_status(final, results.Tally()) == 503
 
     def test_no_time_left_means_no_other_endpoint(self):
-        route = relays.make_route()
+        route = relay_fixtures.make_route()
         lost = results.Lost(reason="")
         tally = results.tally_result(results.Tally(), lost)
         assert not results.may_retry(lost, route, tally, 0.01)
--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -7,7 +7,7 @@
 
 import processes
 import pytest
-import relays
+import relay_fixtures
 from arbutuswalk_platform import callers
 from arbutuswalk_platform import entry
 from arbutuswalk_platform import probes
@@ -26,9 +26,9 @@
     """A listener with a relay and one endpoint behind it."""
 
     def __init__(self, config=None, steps=()):
-        self.relay = relays.make_relay(config)
+        self.relay = relay_fixtures.make_relay(config)
         self.relay.started_at -= 60
-        self.endpoint = relays.Endpoint(*steps)
+        self.endpoint = relay_fixtures.ScriptedEndpoint(*steps)
         self.listener = server.Listener(
             address="127.0.0.1:0", app=callers.make_app(self.relay)
         )
@@ -65,8 +65,8 @@
                 assert head.startswith(b"HTTP/1.1 200")
                 assert await reader.readexactly(2) == b"ok"
             writer.close()
-            assert front.endpoint.bodies == [b"body", b"body"]
-            assert "x-key" not in front.endpoint.heads[0].lower()
+            assert front.endpoint.request_bodies == [b"body", b"body"]
+            assert "x-key" not in front.endpoint.request_heads[0].lower()
 
     @pytest.mark.parametrize(
         ("data", "status"),
@@ -85,7 +85,7 @@
     ):
         async with Front() as front:
             assert (await front.ask(data))[0] == status
-            assert not front.endpoint.heads
+            assert not front.endpoint.request_heads
 
     @pytest.mark.parametrize(
         "data",
@@ -119,7 +119,7 @@
         async with Front() as front:
             status, _ = await front.ask(data)
             assert status == 400
-            assert not front.endpoint.heads
+            assert not front.endpoint.request_heads
 
     async def test_without_a_configuration_it_says_503_and_never_404(self):
         async with Front() as front:
@@ -154,10 +154,10 @@
             )
             data += b"\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"
             assert (await front.ask(data))[0] == 200
-            assert front.endpoint.bodies == [b"body"]
+            assert front.endpoint.request_bodies == [b"body"]
 
     async def test_a_quota_refusal_names_when_to_return(self):
-        config = relays.make_config(rate_per_s=1.0, burst=10.0)
+        config = relay_fixtures.make_config(rate_per_s=1.0, burst=10.0)
         async with Front(config) as front:
             statuses = [(await front.ask(GOOD)) for _ in range(3)]
             assert statuses[0][0] == 200
@@ -168,14 +168,16 @@
 
 class TestCallers:
     async def test_one_that_closes_its_connection_stops_the_work(self):
-        route = relays.make_route(kind=routeconfig.STREAM, timeout_s=30.0)
-        steps = [relays.stream((1, "a"), end=False)]
-        async with Front(relays.make_config(route), steps) as front:
+        route = relay_fixtures.make_route(
+            kind=routeconfig.STREAM, timeout_s=30.0
+        )
+        steps = [relay_fixtures.send_stream((1, "a"), end=False)]
+        async with Front(relay_fixtures.make_config(route), steps) as front:
             reader, writer = await front.connect()
             writer.write(GOOD.replace(b": 1000", b": 30000"))
             await reader.readuntil(b"data: a")
             writer.close()
-            await asyncio.wait_for(front.endpoint.lost.wait(), 10)
+            await asyncio.wait_for(front.endpoint.connection_lost.wait(), 10)
 
     async def test_a_draining_entry_announces_the_close(self):
         async with Front() as front:
@@ -185,11 +187,11 @@
             assert b"connection: close" in head
 
     async def test_a_broken_answer_does_not_look_complete(self):
-        route = relays.make_route(
+        route = relay_fixtures.make_route(
             kind=routeconfig.STREAM, max_attempts=1, timeout_s=3.0
         )
-        steps = [relays.stream((1, "a"), end=False, close=True)]
-        async with Front(relays.make_config(route), steps) as front:
+        steps = [relay_fixtures.send_stream((1, "a"), end=False, close=True)]
+        async with Front(relay_fixtures.make_config(route), steps) as front:
             reader, writer = await front.connect()
             writer.write(GOOD)
             data = await reader.read()
@@ -216,7 +218,7 @@
 
         async def step(head, writer):
             await release.wait()
-            await relays.answer()(head, writer)
+            await relay_fixtures.send_answer()(head, writer)
 
         async def refuses():
             try:
@@ -226,11 +228,13 @@
             writer.close()
             return False
 
-        config = relays.make_config(relays.make_route(timeout_s=60.0))
+        config = relay_fixtures.make_config(
+            relay_fixtures.make_route(timeout_s=60.0)
+        )
         async with Front(config, [step]) as front:
             data = GOOD.replace(b"X-Deadline-Ms: 1000", b"X-Deadline-Ms: 60000")
             asking = asyncio.ensure_future(front.ask(data))
-            while not front.endpoint.heads:
+            while not front.endpoint.request_heads:
                 await asyncio.sleep(0.01)
             draining = self.drain(front)
             await processes.until(refuses, tries=50, pause_s=0.02)
@@ -268,7 +272,7 @@
     async def test_it_needs_a_configuration_and_no_drain(
         self, known, draining, status
     ):
-        relay = relays.make_relay()
+        relay = relay_fixtures.make_relay()
         relay.draining = draining
         if not known:
             relay.route_table = None
@@ -284,15 +288,15 @@
 
 class TestIntake:
     def test_a_workspaces_priority_goes_before_the_routes(self):
-        config = relays.make_config(priority=0)
-        relay = relays.make_relay(config)
-        assert relays.make_request(relay).priority == 0
-        plain = relays.make_relay()
-        assert relays.make_request(plain).priority == 2
+        config = relay_fixtures.make_config(priority=0)
+        relay = relay_fixtures.make_relay(config)
+        assert relay_fixtures.make_request(relay).priority == 0
+        plain = relay_fixtures.make_relay()
+        assert relay_fixtures.make_request(plain).priority == 2
 
     def test_tokens_are_what_a_quota_counts(self):
-        relay = relays.make_relay()
-        assert admission.quota_cost(relays.make_request(relay)) == 10
+        relay = relay_fixtures.make_relay()
+        assert admission.quota_cost(relay_fixtures.make_request(relay)) == 10
 
 
 class TestNames:
--- a/testing/test_platform_processes.py
+++ b/testing/test_platform_processes.py
@@ -13,7 +13,7 @@
 import platform_world
 import processes
 import pytest
-import relays
+import relay_fixtures
 
 from _arbutuswalk.base import settings
 
@@ -72,10 +72,10 @@
         world.beat["state"] = "draining"
         for ip in world.entries:
             await world.until_status(ip, 503)
-        arrived = len(world.endpoint.heads)
+        arrived = len(world.endpoint.request_heads)
         for ip in world.entries:
             assert (await world.ask(ip))[0] == 503
-        assert len(world.endpoint.heads) == arrived
+        assert len(world.endpoint.request_heads) == arrived
 
 
 class TestMetrics:
@@ -138,16 +138,16 @@
 
     async def test_a_stopped_entry_serves_out_what_it_has(self, world):
         await world.begin("/a/")
-        slow = relays.Endpoint(name="i-2")
+        slow = relay_fixtures.ScriptedEndpoint(name="i-2")
 
         async def step(head, writer):
             await asyncio.sleep(1.0)
-            await relays.answer(b"slow")(head, writer)
+            await relay_fixtures.send_answer(b"slow")(head, writer)
 
         slow.steps = world.endpoint.steps = [step] * 20
         ip = world.entries[0]
         asking = asyncio.ensure_future(world.ask(ip))
-        while not world.endpoint.heads[1:]:
+        while not world.endpoint.request_heads[1:]:
             await asyncio.sleep(0.02)
         world.running[ip].send_signal(signal.SIGTERM)
 
--- a/testing/test_routeconfig.py
+++ b/testing/test_routeconfig.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-import relays
+import relay_fixtures
 
 from _arbutuswalk.routing import routetable
 from _arbutuswalk.state import commands
@@ -17,7 +17,9 @@
 def make_config(version=1, routes=None, workspaces=()):
     return routeconfig.RouteConfig(
         version=version,
-        routes=tuple(routes if routes is not None else [relays.make_route()]),
+        routes=tuple(
+            routes if routes is not None else [relay_fixtures.make_route()]
+        ),
         upstreams=(
             routeconfig.Upstream("ops", 100, None, None),
             routeconfig.Upstream(
@@ -43,20 +45,31 @@
     @pytest.mark.parametrize(
         ("routes", "part"),
         [
-            ([relays.make_route(timeout_s=0)], "time-out"),
-            ([relays.make_route(kind="odd")], "kind"),
-            ([relays.make_route(prefix="a/")], "prefix"),
+            ([relay_fixtures.make_route(timeout_s=0)], "time-out"),
+            ([relay_fixtures.make_route(kind="odd")], "kind"),
+            ([relay_fixtures.make_route(prefix="a/")], "prefix"),
             (
-                [relays.make_route(targets=(routeconfig.Target("gone", 1),))],
+                [
+                    relay_fixtures.make_route(
+                        targets=(routeconfig.Target("gone", 1),)
+                    )
+                ],
                 "unknown upstream",
             ),
             (
-                [relays.make_route(targets=(routeconfig.Target("ops", 0),))],
+                [
+                    relay_fixtures.make_route(
+                        targets=(routeconfig.Target("ops", 0),)
+                    )
+                ],
                 "add up to 0",
             ),
-            ([relays.make_route(targets=())], "add up to 0"),
+            ([relay_fixtures.make_route(targets=())], "add up to 0"),
             (
-                [relays.make_route(), relays.make_route(name="r2")],
+                [
+                    relay_fixtures.make_route(),
+                    relay_fixtures.make_route(name="r2"),
+                ],
                 "place is taken",
             ),
         ],
@@ -94,9 +107,9 @@
         table = routetable.RouteTable(
             config=make_config(
                 routes=[
-                    relays.make_route(name="root", prefix="/"),
-                    relays.make_route(name="short", prefix="/a/"),
-                    relays.make_route(name="long", prefix="/a/b/"),
+                    relay_fixtures.make_route(name="root", prefix="/"),
+                    relay_fixtures.make_route(name="short", prefix="/a/"),
+                    relay_fixtures.make_route(name="long", prefix="/a/b/"),
                 ]
             )
         )
@@ -112,7 +125,7 @@
             routeconfig.Target("llm", 10),
         )
         rng = random.Random(1)
-        route = relays.make_route(targets=targets)
+        route = relay_fixtures.make_route(targets=targets)
         drawn = [routetable.pick_target(route, rng) for _ in range(2000)]
         assert 120 < drawn.count("llm") < 280
 
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-import relays
+import relay_fixtures
 import test_crashes
 
 from _arbutuswalk.relay import control_watch
@@ -22,7 +22,7 @@
 
 
 def make_watcher():
-    relay = relays.make_relay()
+    relay = relay_fixtures.make_relay()
     relay.now = FakeClock()
     relay.started_at = relay.now()
     watcher = control_watch.ControlWatcher(
@@ -101,7 +101,9 @@
     def test_an_older_configuration_is_not_applied(self):
         watcher, feed = make_watcher()
         before = watcher.relay.route_table
-        config = json.loads(json.dumps(relays.make_config(version=1)._asdict()))
+        config = json.loads(
+            json.dumps(relay_fixtures.make_config(version=1)._asdict())
+        )
         watcher._apply_fetched_routes(config, "test")
         watcher._apply_reply(feed, make_reply(routes_version=1))
         assert watcher.relay.route_table is before
