--- a/src/_arbutuswalk/load/callers.py
+++ b/src/_arbutuswalk/load/callers.py
@@ -25,7 +25,7 @@
 
     Attributes:
         item: The item.
-        outcome: ``whole``, ``refused``, ``unknown`` or ``unconfirmed_crashes``.
+        outcome: ``whole``, ``refused``, ``unknown`` or ``broken``.
         detail: Why, unless whole.
         first_token_s: Seconds to the first token, zero if none.
         total_s: Seconds to the end.
