--- a/bench/routing.py
+++ b/bench/routing.py
@@ -69,13 +69,13 @@
     def arrive(job):
         table = pool.tables[job.number % ENTRIES]
         row = pick(table.rows_for("model"), job)
-        row.sent += 1
-        row.active[str(job.number)] = None
+        row.sent_since_report += 1
+        row.active_attempts[str(job.number)] = None
         row.prefix_index.record(job.features.blocks)
 
         def end():
-            row.ended += 1
-            row.active.pop(str(job.number), None)
+            row.ended_since_report += 1
+            row.active_attempts.pop(str(job.number), None)
 
         job.on_end = end
         pool.engines[row.announcement["id"]].submit(job)
--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -114,7 +114,7 @@
         for fingerprint, at in replaced.survived_at.items()
         if at > oldest
     }
-    if not (replaced.unconfirmed_crashes or replaced.active):
+    if not (replaced.unconfirmed_crashes or replaced.active_attempts):
         return
     if replaced.health(replaced.announced_at) is not upstreams.Health.LEAVING:
         report = suspicion.report_death(entry, replaced)
--- a/src/_arbutuswalk/entry/calls.py
+++ b/src/_arbutuswalk/entry/calls.py
@@ -114,8 +114,8 @@
     row: upstreams.Row,
 ) -> Outcome | None:
     """Sends a granted call; None when it never left and was withdrawn."""
-    row.sent += 1
-    row.active[call.call_id] = None
+    row.sent_since_report += 1
+    row.active_attempts[call.call_id] = None
     started = entry.now()
     try:
         result = await exchange.run(
@@ -125,8 +125,8 @@
             fresh=True,
         )
     finally:
-        row.ended += 1
-        row.active.pop(call.call_id, None)
+        row.ended_since_report += 1
+        row.active_attempts.pop(call.call_id, None)
         entry.note_usage(
             row.announcement["instance"], call.workspace, entry.now() - started
         )
--- a/src/_arbutuswalk/entry/links.py
+++ b/src/_arbutuswalk/entry/links.py
@@ -84,7 +84,7 @@
                 "said": row.announcement,
                 "health": row.health(now).value,
                 "load": row.load,
-                "active": len(row.active),
+                "active": len(row.active_attempts),
                 "isolated": row.isolated,
                 "blocks": len(row.prefix_index.blocks),
                 "trust": row.prefix_index.trust,
--- a/src/_arbutuswalk/entry/placing.py
+++ b/src/_arbutuswalk/entry/placing.py
@@ -154,8 +154,8 @@
 
 def reserve(row: upstreams.Row, request: requests.ModelRequest) -> None:
     """Counts a request on an upstream."""
-    row.sent += 1
-    row.active[request.request_id] = None
+    row.sent_since_report += 1
+    row.active_attempts[request.request_id] = None
     row.prefix_index.record(request.features.blocks)
 
 
@@ -163,8 +163,8 @@
     entry: core.Entry, row: upstreams.Row, request: requests.ModelRequest
 ) -> None:
     """Ends a reservation and places what waited for it."""
-    row.ended += 1
-    row.active.pop(request.request_id, None)
+    row.ended_since_report += 1
+    row.active_attempts.pop(request.request_id, None)
     pump(entry, row.name)
 
 
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -227,8 +227,8 @@
     call: ServiceCall,
     row: upstreams.Row,
 ) -> exchange.Result:
-    row.sent += 1
-    row.active[call.call_id] = None
+    row.sent_since_report += 1
+    row.active_attempts[call.call_id] = None
     started = entry.now()
     timeout_s = min(entry.values["service_timeout_s"], call.deadline - started)
     try:
@@ -239,8 +239,8 @@
             fresh=False,
         )
     finally:
-        row.ended += 1
-        row.active.pop(call.call_id, None)
+        row.ended_since_report += 1
+        row.active_attempts.pop(call.call_id, None)
         entry.note_usage(
             row.announcement["instance"], call.workspace, entry.now() - started
         )
--- a/src/_arbutuswalk/entry/suspicion.py
+++ b/src/_arbutuswalk/entry/suspicion.py
@@ -118,7 +118,7 @@
     # Attempts that broke off before this report was made count as well: the
     # guilty one need not be the first whose connection was seen to end.
     running = set(row.unconfirmed_crashes)
-    for request_id in row.active:
+    for request_id in row.active_attempts:
         other = entry.requests.get(request_id)
         if other is not None:
             running.add(other.fingerprint)
@@ -238,7 +238,7 @@
     return [
         identity
         for identity, row in entry.upstreams.rows.items()
-        if row.active or row.unconfirmed_crashes
+        if row.active_attempts or row.unconfirmed_crashes
     ]
 
 
@@ -249,7 +249,7 @@
         row.isolated = isolations.get(identity, "")
         if not row.isolated:
             continue
-        for request_id in row.active:
+        for request_id in row.active_attempts:
             request = entry.requests.get(request_id)
             if request and request.fingerprint != row.isolated:
                 request.move.set()
--- a/src/_arbutuswalk/entry/transfers.py
+++ b/src/_arbutuswalk/entry/transfers.py
@@ -29,7 +29,7 @@
     """
     running = [
         entry.requests[request_id]
-        for request_id in row.active
+        for request_id in row.active_attempts
         if request_id in entry.requests
     ]
     running.sort(key=lambda request: -request.remaining_tokens)
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -27,9 +27,9 @@
         announced_at: When it was made, in seconds of this entry's clock.
         failed_at: When a connection to it last failed, or minus infinity.
         leaves_at: When it shuts down, infinity unless it is leaving.
-        sent: Attempts sent since the newest announcement.
-        ended: Attempts ended since the newest announcement.
-        active: Ids of this entry's attempts running there.
+        sent_since_report: Attempts sent since the newest announcement.
+        ended_since_report: Attempts ended since the newest announcement.
+        active_attempts: Ids of this entry's attempts running there.
         unconfirmed_crashes: Fingerprints of attempts whose connection was
             lost, while it is not known whether the upstream died.
         survived_at: When the upstream of an attempt with a lost connection was
@@ -46,9 +46,9 @@
         self.announced_at = announced_at
         self.failed_at = float("-inf")
         self.leaves_at = float("inf")
-        self.sent = 0
-        self.ended = 0
-        self.active: dict[str, None] = {}
+        self.sent_since_report = 0
+        self.ended_since_report = 0
+        self.active_attempts: dict[str, None] = {}
         self.unconfirmed_crashes: set[str] = set()
         self.survived_at: dict[str, float] = {}
         self.isolated = ""
@@ -70,8 +70,12 @@
     @property
     def load(self) -> int:
         """Estimated running requests: the announced ones and later changes."""
-        reported = self.announcement["running"] + self.sent - self.ended
-        return max(reported, len(self.active))
+        reported = (
+            self.announcement["running"]
+            + self.sent_since_report
+            - self.ended_since_report
+        )
+        return max(reported, len(self.active_attempts))
 
     def health(self, now: float) -> Health:
         """Returns whether it is eligible for new requests at ``now``."""
@@ -177,7 +181,7 @@
     was_leaving = row.health(announced_at) is Health.LEAVING
     row.announcement = announcement
     row.announced_at = max(row.announced_at, announced_at)
-    row.sent = row.ended = 0
+    row.sent_since_report = row.ended_since_report = 0
     _note_leaving(row, announcement, announced_at)
     return Renewed(
         row=row, now_leaving=announcement["leaving"] and not was_leaving
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -107,8 +107,8 @@
 
     def test_load_is_the_announced_one_plus_later_attempts(self, table):
         known_row = table.rows["u"]
-        known_row.sent = 3
-        known_row.ended = 1
+        known_row.sent_since_report = 3
+        known_row.ended_since_report = 1
         assert known_row.load == 2
         fresh = worlds.said("u", "model", sequence=2, running=2)
         upstreams.announce(table, fresh, announced_at=10.4)
