--- a/src/_arbutuswalk/entry/placing.py
+++ b/src/_arbutuswalk/entry/placing.py
@@ -34,7 +34,9 @@
 ) -> list[upstreams.Row]:
     """Returns the upstreams that may run a request, by its version."""
     rows = upstreams.usable(entry.upstreams, name, entry.now())
-    wanted, fallback = versions.pick(entry.moves, name, route, request_id)
+    wanted, fallback = versions.pick_version(
+        entry.moves, name, route, request_id
+    )
     cut = (
         version_outcomes.OutcomeKey(name, wanted, route)
         in entry.evidence.cut_off
--- a/src/_arbutuswalk/entry/running.py
+++ b/src/_arbutuswalk/entry/running.py
@@ -296,7 +296,7 @@
         return  # a reclaim is not the version's fault
     if isinstance(result, attempts.NotConnected):
         return
-    wanted, old = versions.pick(
+    wanted, old = versions.pick_version(
         entry.moves, request.upstream, request.route, request.request_id
     )
     version = row.announcement["version"]
--- a/src/_arbutuswalk/entry/services.py
+++ b/src/_arbutuswalk/entry/services.py
@@ -278,7 +278,7 @@
     if leaving or isinstance(result, exchange.NotOpened):
         return
     name, route = call.upstream["name"], call.route["name"]
-    wanted, old = versions.pick(entry.moves, name, route, call.call_id)
+    wanted, old = versions.pick_version(entry.moves, name, route, call.call_id)
     version = row.announcement["version"]
     ok = isinstance(result, exchange.Reply) and result.status < 500
     entry.evidence.record(
--- a/src/_arbutuswalk/relay/admission.py
+++ b/src/_arbutuswalk/relay/admission.py
@@ -72,7 +72,9 @@
     if relay.route_table is None:
         reason = "no configuration yet"
         return Refusal(STATUS_UNAVAILABLE, reason, STARTUP_RETRY_AFTER_S)
-    route = routetable.find(relay.route_table, incoming.host, incoming.path)
+    route = routetable.find_route(
+        relay.route_table, incoming.host, incoming.path
+    )
     if route is None:
         return Refusal(STATUS_NOT_FOUND, "no such route")
     if not incoming.id:
--- a/src/_arbutuswalk/routing/routetable.py
+++ b/src/_arbutuswalk/routing/routetable.py
@@ -26,7 +26,9 @@
         }
 
 
-def find(table: RouteTable, host: str, path: str) -> routeconfig.Route | None:
+def find_route(
+    table: RouteTable, host: str, path: str
+) -> routeconfig.Route | None:
     """Returns the host's route with the longest matching path prefix."""
     prefix_end = len(path)
     while (prefix_end := path.rfind("/", 0, prefix_end)) >= 0:
--- a/src/_arbutuswalk/routing/versions.py
+++ b/src/_arbutuswalk/routing/versions.py
@@ -6,7 +6,7 @@
 SHARE_SCALE = 1000
 
 
-def pick(
+def pick_version(
     view: dict[str, Any], upstream: str, route: str, request_id: str
 ) -> tuple[str, str]:
     """Returns the version to use and the version to fall back to.
--- a/testing/test_routeconfig.py
+++ b/testing/test_routeconfig.py
@@ -113,11 +113,11 @@
                 ]
             )
         )
-        assert routetable.find(table, "h.example", path).name == name
+        assert routetable.find_route(table, "h.example", path).name == name
 
     def test_another_host_has_no_route(self):
         table = routetable.RouteTable(config=make_config())
-        assert routetable.find(table, "other.example", "/a/b") is None
+        assert routetable.find_route(table, "other.example", "/a/b") is None
 
     def test_weights_split_the_requests(self):
         targets = (
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -208,11 +208,11 @@
 class TestVersionShares:
     def test_without_a_move_all_go_to_the_version_in_use(self):
         view = {"versions": {"model": "v1"}, "live": {}}
-        assert versions.pick(view, "model", "chat", "r") == ("v1", "")
+        assert versions.pick_version(view, "model", "chat", "r") == ("v1", "")
 
     def test_share_is_kept(self):
         picks = [
-            versions.pick(make_view(100), "model", "chat", f"r{i}")[0]
+            versions.pick_version(make_view(100), "model", "chat", f"r{i}")[0]
             for i in range(5000)
         ]
         assert 400 < picks.count("v2") < 600
@@ -220,16 +220,24 @@
     def test_request_keeps_its_version_as_the_share_grows(self):
         for i in range(300):
             name = f"r{i}"
-            if versions.pick(make_view(50), "model", "chat", name)[0] == "v2":
-                later = versions.pick(make_view(500), "model", "chat", name)
+            if (
+                versions.pick_version(make_view(50), "model", "chat", name)[0]
+                == "v2"
+            ):
+                later = versions.pick_version(
+                    make_view(500), "model", "chat", name
+                )
                 assert later[0] == "v2"
 
     def test_only_the_new_version_has_a_fallback(self):
-        assert versions.pick(make_view(1000), "model", "chat", "r") == (
+        assert versions.pick_version(make_view(1000), "model", "chat", "r") == (
             "v2",
             "v1",
         )
-        assert versions.pick(make_view(0), "model", "chat", "r") == ("v1", "")
+        assert versions.pick_version(make_view(0), "model", "chat", "r") == (
+            "v1",
+            "",
+        )
 
 
 NEW_VERSION = version_outcomes.OutcomeKey("model", "v2", "chat")
