--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -18,7 +18,7 @@
     Attributes:
         relay: State of the entry.
         request: The request.
-        caller: Callbacks that send the answer.
+        sender: Callbacks that send the answer.
         caller_left: Whether the caller has closed the connection.
         started: Whether status and headers have been sent.
         last_event: Id of the last event sent to the caller.
@@ -33,11 +33,11 @@
         *,
         relay: relay_state.Relay,
         request: requests.Request,
-        caller: requests.Caller,
+        sender: requests.AnswerSender,
     ):
         self.relay = relay
         self.request = request
-        self.caller = caller
+        self.sender = sender
         self.caller_left = False
         self.started = False
         self.last_event = request.last_event
@@ -57,7 +57,7 @@
         if self.started:
             return
         self.started = True
-        await self.caller.head(
+        await self.sender.send_head(
             status, self.relay.dialect.answer_headers(headers)
         )
 
@@ -75,13 +75,13 @@
         if not self.event_count:
             self.first_event_at = self.relay.now()
         self.event_count += len(new_events)
-        await self.caller.body(b"".join(new_events))
+        await self.sender.send_body(b"".join(new_events))
 
     async def finish_stream(self) -> None:
         """Ends a complete stream, sending the rest after the last event."""
         if self.framer.rest:
-            await self.caller.body(self.framer.rest)
-        await self.caller.end()
+            await self.sender.send_body(self.framer.rest)
+        await self.sender.end_answer()
 
     async def send_answer(
         self, status: int, headers: replies.Headers, body: bytes
@@ -96,7 +96,7 @@
     ) -> None:
         """Sends a complete answer with exactly these headers."""
         self.started = True
-        await self.caller.head(status, headers)
+        await self.sender.send_head(status, headers)
         if body:
-            await self.caller.body(body)
-        await self.caller.end()
+            await self.sender.send_body(body)
+        await self.sender.end_answer()
--- a/src/_arbutuswalk/relay/request.py
+++ b/src/_arbutuswalk/relay/request.py
@@ -81,18 +81,18 @@
         return self.route.priority
 
 
-class Caller(NamedTuple):
+class AnswerSender(NamedTuple):
     """Callbacks that send the answer to a caller.
 
     Attributes:
-        head: Sends status and headers.
-        body: Sends a chunk of the body; waits while the caller is slow.
-        end: Ends a complete answer.
+        send_head: Sends status and headers.
+        send_body: Sends a chunk of the body; waits while the caller is slow.
+        end_answer: Ends a complete answer.
     """
 
-    head: Callable[[int, replies.Headers], Awaitable[None]]
-    body: Callable[[bytes], Awaitable[None]]
-    end: Callable[[], Awaitable[None]]
+    send_head: Callable[[int, replies.Headers], Awaitable[None]]
+    send_body: Callable[[bytes], Awaitable[None]]
+    end_answer: Callable[[], Awaitable[None]]
 
 
 class AttemptOptions(NamedTuple):
--- a/testing/relay_fixtures.py
+++ b/testing/relay_fixtures.py
@@ -118,8 +118,10 @@
         self.complete = True
 
     def deliver(self, relay, request):
-        caller = requests.Caller(head=self.head, body=self.body, end=self.end)
-        return delivery.Delivery(relay=relay, request=request, caller=caller)
+        sender = requests.AnswerSender(
+            send_head=self.head, send_body=self.body, end_answer=self.end
+        )
+        return delivery.Delivery(relay=relay, request=request, sender=sender)
 
 
 class ScriptedEndpoint:
