--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -49,7 +49,7 @@
         self.delivery = caller_delivery
         self.request = caller_delivery.request
         self.endpoint = chosen.endpoint
-        self.unread_tokens = chosen.tokens
+        self.unread_tokens = chosen.uncached_tokens
         self.started_at = relay.now()
         self.first_byte_s = 0.0
         self.exchange = connections.Exchange(
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -111,7 +111,9 @@
         )
         for suspect in confirmed_suspects:
             events.record(
-                events.Event.DEATH_NOTED, suspect.fingerprint, suspect.endpoint
+                events.Event.DEATH_NOTED,
+                suspect.fingerprint,
+                suspect.endpoint_id,
             )
 
     def _expire_endpoints(self, now: float) -> None:
@@ -185,11 +187,11 @@
             "ready": relay.ready,
             "left": relay.draining,
             "routes_version": relay.routes_version,
-            "loads": relay.loads,
+            "loads": relay.own_loads,
             "wall": relay.wall(),
             "deaths": {
-                name: sorted(known)
-                for name, known in relay.crashes.deaths.items()
+                fingerprint: sorted(death_times)
+                for fingerprint, death_times in relay.crashes.deaths.items()
             },
             "usage": relay.usage.counts,
             "taken": {
@@ -267,11 +269,11 @@
         """Sets other entries' loads: the totals minus our own share."""
         self.relay.other_loads = {
             name: relay_state.Load(
-                max(0, running - own.running),
-                max(0, tokens - own.waiting_tokens),
+                max(0, running - own_share.running),
+                max(0, tokens - own_share.waiting_tokens),
             )
             for name, (running, tokens) in loads.items()
-            for own in [feed.reported_loads.get(name, relay_state.Load())]
+            for own_share in [feed.reported_loads.get(name, relay_state.Load())]
         }
 
     def _record_quota_use(
@@ -280,8 +282,8 @@
         """Records other entries' quota use: the totals minus our own share."""
         now = self.relay.now()
         for name, bucket in self.relay.quota_buckets.items():
-            own = feed.reported_quota_use.get(name, 0.0)
-            bucket.hear(taken.get(name, 0.0) - own, now)
+            own_share = feed.reported_quota_use.get(name, 0.0)
+            bucket.hear(taken.get(name, 0.0) - own_share, now)
 
     def _correct_clock(self) -> None:
         """Corrects a clock step by the median offset of all clocks."""
--- a/src/_arbutuswalk/relay/placement.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -22,7 +22,7 @@
     """The endpoint for a request, and the prompt tokens to be read there."""
 
     endpoint: directory.Endpoint
-    tokens: int
+    uncached_tokens: int
 
 
 def find_placement(
@@ -76,7 +76,7 @@
 ) -> selection.Candidate:
     endpoint_id = row.endpoint.id
     own_load, other_load = (
-        relay.loads.get(endpoint_id),
+        relay.own_loads.get(endpoint_id),
         relay.other_loads.get(endpoint_id, (0, 0)),
     )
     running, waiting_tokens = own_load or (0, 0)
--- a/src/_arbutuswalk/relay/relay_state.py
+++ b/src/_arbutuswalk/relay/relay_state.py
@@ -95,7 +95,7 @@
         pool: Connections to endpoints.
         route_table: Route configuration, None before the first.
         directory: Known endpoints.
-        loads: Load from this entry by endpoint.
+        own_loads: Load from this entry by endpoint.
         other_loads: Load from other entries by endpoint.
         outlier_detector: Failure rates of endpoints that report good health.
         crashes: Requests that were running when endpoints died.
@@ -139,7 +139,7 @@
         self.pool = pool.Pool(read=dialect.read, now=now)
         self.route_table: routetable.RouteTable | None = None
         self.directory = directory.Directory()
-        self.loads: dict[str, Load] = {}
+        self.own_loads: dict[str, Load] = {}
         self.other_loads: dict[str, Load] = {}
         self.recent_parts = recent_parts.RecentParts()
         self.lateness = lateness.LatenessTracker()
@@ -172,12 +172,12 @@
 
     def add_load(self, endpoint: str, running: int, tokens: int) -> None:
         """Adds the amounts, which may be negative, to an endpoint's load."""
-        previous = self.loads.pop(endpoint, Load())
+        previous = self.own_loads.pop(endpoint, Load())
         load = Load(
             previous.running + running, previous.waiting_tokens + tokens
         )
         if load.running or load.waiting_tokens:
-            self.loads[endpoint] = load
+            self.own_loads[endpoint] = load
 
     def notify_waiters(self) -> None:
         """Wakes all tasks that wait for an update from control."""
--- a/src/_arbutuswalk/routing/crashes.py
+++ b/src/_arbutuswalk/routing/crashes.py
@@ -27,13 +27,13 @@
 
     Attributes:
         fingerprint: Fingerprint of the request.
-        endpoint: Id of the endpoint.
+        endpoint_id: Id of the endpoint.
         born_ms: Start time of the endpoint, in Unix milliseconds.
         lost_at: When the connection was lost, in seconds.
     """
 
     fingerprint: str
-    endpoint: str
+    endpoint_id: str
     born_ms: int
     lost_at: float
 
@@ -89,7 +89,7 @@
             undecided.append(suspect)
         elif _is_dead(suspect, endpoint_directory):
             confirmed.append(suspect)
-            endpoint_start = f"{suspect.endpoint}/{suspect.born_ms}"
+            endpoint_start = f"{suspect.endpoint_id}/{suspect.born_ms}"
             death_times = crashes.deaths.setdefault(suspect.fingerprint, {})
             death_times[endpoint_start] = suspect.lost_at
     crashes.suspects = undecided
@@ -113,7 +113,7 @@
 
 
 def _is_dead(suspect: Suspect, endpoint_directory: directory.Directory) -> bool:
-    row = endpoint_directory.rows.get(suspect.endpoint)
+    row = endpoint_directory.rows.get(suspect.endpoint_id)
     if row is None or row.endpoint.born_ms != suspect.born_ms:
         return True
     if row.endpoint.state != directory.READY:
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -112,4 +112,4 @@
             relay, request, caller.deliver(relay, request)
         )
         endpoint.stop()
-        assert [each.endpoint for each in relay.crashes.suspects] == ["e1"]
+        assert [each.endpoint_id for each in relay.crashes.suspects] == ["e1"]
