--- a/src/_arbutuswalk/control/service.py
+++ b/src/_arbutuswalk/control/service.py
@@ -252,7 +252,7 @@
         members = replica.log.members
         for voter in members.voters:
             if members.addresses[voter] == argument:
-                replica.replace_asked = voter
+                replica.replacement_requested = voter
                 note = f"{voter} is replaced once another member is ready"
                 return {"ordered": True, "note": note}
         return {"ordered": False, "note": f"no voter at {argument}"}
@@ -271,7 +271,7 @@
                 "leader": replica.leader,
                 "commit": replica.commit,
                 "applied": member.core.applied,
-                "first": replica.log.base_index + 1,
+                "first": replica.log.snapshot_index + 1,
                 "last": replica.log.last_index,
                 "durable": replica.durable_index,
                 "members": replica.log.members._asdict(),
--- a/src/_arbutuswalk/relay/config_fetch.py
+++ b/src/_arbutuswalk/relay/config_fetch.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from _arbutuswalk.base import events
-from _arbutuswalk.wire import packed
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 PART_TIMEOUT_S = 0.5
@@ -114,7 +114,7 @@
 ) -> None:
     data, partial.data = partial.data, b""
     try:
-        values = packed.unpack(data)
+        values = compressed_json.decode(data)
     except ValueError as error:
         failed_addresses.add(address)
         events.record(events.Event.ROUTES_UNREADABLE, address, str(error))
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -3,8 +3,8 @@
 import pytest
 
 from _arbutuswalk.relay import config_fetch
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire import link
-from _arbutuswalk.wire import packed
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 PART_BYTES = 10
@@ -20,7 +20,7 @@
         self.connected = True
         self.routes_version = version
         self.held_version = version
-        self.data = packed.pack(values or CONFIG)
+        self.data = compressed_json.encode(values or CONFIG)
         self.failing_calls = set(failing_calls)
         self.requested_offsets = []
 
@@ -91,7 +91,7 @@
         async def call(message, *, timeout_s):
             if message.offset == 2 * PART_BYTES:
                 member.held_version = 9
-                member.data = packed.pack(newer)
+                member.data = compressed_json.encode(newer)
             return await original_call(message, timeout_s=timeout_s)
 
         member.call = call
@@ -125,21 +125,21 @@
 
 class TestEncoding:
     def test_a_value_round_trips(self):
-        assert packed.unpack(packed.pack(CONFIG)) == CONFIG
+        assert compressed_json.decode(compressed_json.encode(CONFIG)) == CONFIG
 
     @pytest.mark.parametrize(
         "data",
         [
             pytest.param(b"", id="empty"),
             pytest.param(b"{}", id="not-packed"),
-            pytest.param(packed.pack(CONFIG)[:-1], id="cut"),
+            pytest.param(compressed_json.encode(CONFIG)[:-1], id="cut"),
         ],
     )
     def test_invalid_bytes_are_rejected(self, data):
         with pytest.raises(ValueError, match=r".+"):
-            packed.unpack(data)
+            compressed_json.decode(data)
 
     def test_data_over_the_size_limit_is_rejected(self, monkeypatch):
-        monkeypatch.setattr(packed, "MAX_BYTES", 100)
+        monkeypatch.setattr(compressed_json, "MAX_BYTES", 100)
         with pytest.raises(ValueError, match="over 100 bytes"):
-            packed.unpack(packed.pack("x" * 1000))
+            compressed_json.decode(compressed_json.encode("x" * 1000))
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -9,7 +9,7 @@
 from _arbutuswalk.relay import control_watch
 from _arbutuswalk.relay import relay_state
 from _arbutuswalk.routing import directory
-from _arbutuswalk.wire import packed
+from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 
@@ -47,7 +47,7 @@
         "refused": [],
         "routes_version": 0,
     }
-    payload = packed.pack({**values, **changes})
+    payload = compressed_json.encode({**values, **changes})
     return ttypes.WatchReply(session="s", version=1, news=payload)
 
 
