--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -147,7 +147,7 @@
     async def _watch(self, feed: ControlFeed) -> None:
         while True:
             reply = await feed.link.call(
-                self._make_watch(feed), timeout_s=WATCH_TIMEOUT_S
+                self._make_watch_message(feed), timeout_s=WATCH_TIMEOUT_S
             )
             if isinstance(reply, ttypes.WatchReply):
                 self._apply_reply(feed, reply)
@@ -165,7 +165,7 @@
                 RETRY_PAUSE_S if known else STARTUP_RETRY_PAUSE_S
             )
 
-    def _make_watch(self, feed: ControlFeed) -> ttypes.Watch:
+    def _make_watch_message(self, feed: ControlFeed) -> ttypes.Watch:
         report = self._report()
         feed.reported_quota_use = report["taken"]
         feed.reported_loads = dict(report["loads"])
--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -20,7 +20,7 @@
         request: The request.
         sender: Callbacks that send the answer.
         caller_left: Whether the caller has closed the connection.
-        started: Whether status and headers have been sent.
+        headers_sent: Whether status and headers have been sent.
         last_event: Id of the last event sent to the caller.
         event_count: Number of events sent.
         first_event_at: When the first event was sent, in seconds.
@@ -39,7 +39,7 @@
         self.request = request
         self.sender = sender
         self.caller_left = False
-        self.started = False
+        self.headers_sent = False
         self.last_event = request.last_event
         self.event_count = 0
         self.first_event_at = 0.0
@@ -54,9 +54,9 @@
     async def start_stream(self, status: int, headers: replies.Headers) -> None:
         """Sends status and headers, unless an earlier attempt has."""
         self.framer = framing.Framer()
-        if self.started:
+        if self.headers_sent:
             return
-        self.started = True
+        self.headers_sent = True
         await self.sender.send_head(
             status, self.relay.dialect.answer_headers(headers)
         )
@@ -95,7 +95,7 @@
         self, status: int, headers: replies.Headers, body: bytes
     ) -> None:
         """Sends a complete answer with exactly these headers."""
-        self.started = True
+        self.headers_sent = True
         await self.sender.send_head(status, headers)
         if body:
             await self.sender.send_body(body)
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -37,7 +37,7 @@
             break
         endpoint_id = chosen.endpoint.id
         tried.add(endpoint_id)
-        if caller_delivery.started:
+        if caller_delivery.headers_sent:
             events.record(
                 events.Event.RESUMED,
                 request.id,
@@ -108,7 +108,7 @@
             relay, request, endpoint_id, 200, tally, took_ms, first_ms
         )
         return
-    if caller_delivery.started:
+    if caller_delivery.headers_sent:
         events.record(
             events.Event.BROKEN_OFF,
             request.id,
--- a/src/_arbutuswalk/routing/prefixes.py
+++ b/src/_arbutuswalk/routing/prefixes.py
@@ -39,7 +39,7 @@
         capacity_blocks: Number of blocks that the cache can hold.
         blocks: Hashes, least recently used first.
         trust: Confidence in a hit, from 0 to 1.
-        last_event: Sequence number of the newest event.
+        last_event_sequence: Sequence number of the newest event.
     """
 
     def __init__(self, *, capacity_tokens: int):
@@ -48,7 +48,7 @@
             collections.OrderedDict()
         )
         self.trust = 1.0
-        self.last_event = 0
+        self.last_event_sequence = 0
 
     def record(self, hashes: Sequence[str]) -> None:
         """Records the blocks of a prompt that was sent to the upstream."""
@@ -69,13 +69,13 @@
         self, sequence: int, stored: Sequence[str], removed: Sequence[str]
     ) -> None:
         """Applies one cache event; old ones are ignored."""
-        if sequence <= self.last_event:
+        if sequence <= self.last_event_sequence:
             return
-        if sequence > self.last_event + 1 and self.last_event:
+        if sequence > self.last_event_sequence + 1 and self.last_event_sequence:
             self.trust *= TRUST_FACTOR_PER_GAP
         else:
             self.trust = min(1.0, self.trust + TRUST_INCREASE_PER_EVENT)
-        self.last_event = sequence
+        self.last_event_sequence = sequence
         for block in removed:
             self.blocks.pop(block, None)
         self.record(stored)
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -167,7 +167,7 @@
         or row.announcement["incarnation"] < announcement["incarnation"]
     ):
         new_row = Row(announcement=announcement, announced_at=announced_at)
-        _note_leaving(new_row, announcement, announced_at)
+        _record_leaving(new_row, announcement, announced_at)
         table.put(new_row)
         return Joined(row=new_row, replaced=row)
     if row.announcement["incarnation"] > announcement["incarnation"]:
@@ -182,13 +182,13 @@
     row.announcement = announcement
     row.announced_at = max(row.announced_at, announced_at)
     row.sent_since_report = row.ended_since_report = 0
-    _note_leaving(row, announcement, announced_at)
+    _record_leaving(row, announcement, announced_at)
     return Renewed(
         row=row, now_leaving=announcement["leaving"] and not was_leaving
     )
 
 
-def _note_leaving(
+def _record_leaving(
     row: Row, announcement: announcements.Announcement, announced_at: float
 ) -> None:
     if announcement["leaving"]:
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -115,13 +115,13 @@
         watcher, feed = make_watcher()
         watcher._apply_reply(feed, make_reply(routes_version=5))
         assert not watcher.fetch_task.done()
-        assert watcher._make_watch(feed).routes_version == 5
+        assert watcher._make_watch_message(feed).routes_version == 5
         watcher.fetch_task.cancel()
 
     def test_own_loads_are_subtracted_from_the_totals(self):
         watcher, feed = make_watcher()
         watcher.relay.add_load("a", 2, 100)
-        watcher._make_watch(feed)
+        watcher._make_watch_message(feed)
         watcher._apply_reply(
             feed, make_reply(loads={"a": [5, 150], "b": [1, 0]})
         )
