--- a/bench/routing.py
+++ b/bench/routing.py
@@ -33,7 +33,7 @@
 def prefix_hash(_rng):
     def pick(rows, job):
         def weight(row):
-            text = f"{job.features.affinity}|{row.said['id']}"
+            text = f"{job.features.affinity}|{row.announcement['id']}"
             return hashlib.blake2b(text.encode()).digest()
 
         return max(rows, key=weight)
@@ -68,17 +68,17 @@
 
     def arrive(job):
         table = pool.tables[job.number % ENTRIES]
-        row = pick(table.named("model"), job)
-        row.sent += 1
-        row.active[str(job.number)] = None
-        row.index.note(job.features.blocks)
+        row = pick(table.rows_for("model"), job)
+        row.sent_since_report += 1
+        row.active_attempts[str(job.number)] = None
+        row.prefix_index.record(job.features.blocks)
 
         def end():
-            row.ended += 1
-            row.active.pop(str(job.number), None)
+            row.ended_since_report += 1
+            row.active_attempts.pop(str(job.number), None)
 
         job.on_end = end
-        pool.engines[row.said["id"]].submit(job)
+        pool.engines[row.announcement["id"]].submit(job)
 
     for job in jobs:
         clock.at(job.arrived, lambda job=job: arrive(job))
--- a/bench/sim.py
+++ b/bench/sim.py
@@ -172,7 +172,7 @@
         for table in self.tables:
             row = table.rows.get(engine.identity)
             if row is not None:
-                row.index.apply_event(self.sequence, stored, removed)
+                row.prefix_index.apply_event(self.sequence, stored, removed)
 
     def report(self):
         self.sequence += 1
@@ -189,7 +189,7 @@
                         engine.cache_tokens,
                         self.sequence,
                     ),
-                    heard_at=self.clock.now,
+                    announced_at=self.clock.now,
                 )
         self.clock.at(self.clock.now + REPORT_S, self.report)
 
--- a/src/_arbutuswalk/control/discovery.py
+++ b/src/_arbutuswalk/control/discovery.py
@@ -118,7 +118,7 @@
 
     def remove_endpoint(self, endpoint_id: str) -> None:
         """Removes an endpoint that was restored from disk and not confirmed."""
-        directories.forget(self.directory, endpoint_id)
+        directories.remove(self.directory, endpoint_id)
         events.record(events.Event.ENDPOINT_FORGOTTEN, endpoint_id)
 
     async def wait_for_entries(self) -> bool:
@@ -247,7 +247,7 @@
             return True
         if tables.routes_version > message.routes_version:
             return True
-        return directories.has_news_since(self.directory, revision)
+        return directories.has_changes_since(self.directory, revision)
 
     def routes_part(self, message: ttypes.RoutesRequest) -> ttypes.RoutesPart:
         """Returns a part of the packed route configuration."""
@@ -267,7 +267,7 @@
         known = self.known_entries()
         return {
             "routes_version": tables.routes_version,
-            "endpoints": directories.since(self.directory, revision),
+            "endpoints": directories.updated_since(self.directory, revision),
             "members": self.member_addresses(),
             "rollouts": tables.rollouts,
             "loads": self.loads(),
@@ -276,7 +276,7 @@
             "silent": len(known - self.reachable_entries().keys()),
             "wall": self.wall(),
             "term": self._lease_term(),
-            "refused": crashes.add_up(
+            "refused": crashes.fingerprints_to_refuse(
                 [report.get("deaths", {}) for report in self.reports()]
             ),
         }
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -127,7 +127,7 @@
     loop = asyncio.get_running_loop()
     while True:
         latest_revision = max(
-            (row.news_revision for row in discovery.directory.rows.values()),
+            (row.change_revision for row in discovery.directory.rows.values()),
             default=0,
         )
         if latest_revision != saved_revision:
--- a/src/_arbutuswalk/control/queries.py
+++ b/src/_arbutuswalk/control/queries.py
@@ -49,7 +49,7 @@
         name: {
             **row.endpoint._asdict(),
             "running": loads.get(name, (0, 0))[0],
-            "age_s": now - row.heard_at,
+            "age_s": now - row.announced_at,
         }
         for name, row in discovery.directory.rows.items()
     }
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -119,7 +119,7 @@
         endpoint = row.endpoint
         if (
             endpoint.state != directory.READY
-            or now - row.heard_at > ENDPOINT_SILENCE_TIMEOUT_S
+            or now - row.announced_at > ENDPOINT_SILENCE_TIMEOUT_S
         ):
             continue
         key = (endpoint.domain, endpoint.reclaimable)
--- a/src/_arbutuswalk/entry/at_most_once.py
+++ b/src/_arbutuswalk/entry/at_most_once.py
@@ -118,8 +118,8 @@
     row: upstreams.Row,
 ) -> Outcome | None:
     """Sends a granted call; None if it was not sent and was withdrawn."""
-    row.sent += 1
-    row.active[call.call_id] = None
+    row.sent_since_report += 1
+    row.active_attempts[call.call_id] = None
     started = entry.now()
     try:
         result = await exchange.run(
@@ -129,10 +129,10 @@
             fresh=True,
         )
     finally:
-        row.ended += 1
-        row.active.pop(call.call_id, None)
+        row.ended_since_report += 1
+        row.active_attempts.pop(call.call_id, None)
         entry.record_usage(
-            row.said["instance"], call.workspace, entry.now() - started
+            row.announcement["instance"], call.workspace, entry.now() - started
         )
     service_routes.record_evidence(
         entry, call, row, result, entry.now() - started
@@ -196,7 +196,7 @@
     if not status_path or not rows:
         return None
     order = exchange.Order(
-        address=rows[0].said["address"],
+        address=rows[0].announcement["address"],
         method="GET",
         path=status_path.replace("{key}", key),
         headers={},
@@ -205,7 +205,7 @@
         attempt_id=uuid.uuid4().hex,
         key="",
         priority=0,
-        echo=rows[0].said["echo"],
+        echo=rows[0].announcement["echo"],
     )
     reply = await exchange.run(
         entry.pool, order, timeout_s=STATUS_TIMEOUT_S, fresh=True
@@ -278,7 +278,7 @@
         attempt=attempt,
         entry=entry.name,
         incarnation=entry.incarnation,
-        upstream=row.said["id"],
+        upstream=row.announcement["id"],
         route=f"{call.upstream['name']}/{call.route['name']}",
     )
 
--- a/src/_arbutuswalk/entry/control_sync.py
+++ b/src/_arbutuswalk/entry/control_sync.py
@@ -109,9 +109,9 @@
         (move["upstream"], move["new"])
         for move in entry.moves.get("live", {}).values()
     }
-    entry.evidence.cut = {
+    entry.evidence.cut_off = {
         side
-        for side in entry.evidence.cut
+        for side in entry.evidence.cut_off
         if (side.upstream, side.version) in live_versions
     }
 
@@ -120,13 +120,13 @@
     """Returns the observations that the control group decides on."""
     now = entry.now()
     upstream_rows = {
-        row.said["id"]: [
+        row.announcement["id"]: [
             row.name,
-            row.said["version"],
-            row.said["instance"],
-            row.said["domain"],
-            row.said["instance_class"],
-            row.said["slots"],
+            row.announcement["version"],
+            row.announcement["instance"],
+            row.announcement["domain"],
+            row.announcement["instance_class"],
+            row.announcement["slots"],
             row.load,
             row.health(now) is upstreams.Health.USABLE,
         ]
@@ -135,7 +135,7 @@
     return {
         "upstreams": upstream_rows,
         "evidence": entry.evidence.report(),
-        "cut": ["|".join(side) for side in entry.evidence.cut],
+        "cut": ["|".join(side) for side in entry.evidence.cut_off],
         "active": crash_quarantine.occupied_upstreams(entry),
         "usage": entry.slot_usage_ms,
         "waiting": {name: len(q) for name, q in entry.queues.items() if q},
--- a/src/_arbutuswalk/entry/crash_quarantine.py
+++ b/src/_arbutuswalk/entry/crash_quarantine.py
@@ -37,18 +37,18 @@
     stop at every entry, since this entry alone may be partitioned.
     """
     broke_at = entry.now()
-    probe = await _probe(row.said["address"])
+    probe = await _probe(row.announcement["address"])
     if probe == _REFUSED:
         return True
     if probe == _ANSWERED and not row.isolated:
         return _is_replaced(entry, row)  # has a newer incarnation
     if probe == _ANSWERED:
         return await _was_restarted(entry, row, broke_at)
-    while entry.now() - row.heard_at < upstreams.SUSPECT_AFTER_S:
-        if row.heard_at > broke_at:
+    while entry.now() - row.announced_at < upstreams.SUSPECT_AFTER_S:
+        if row.announced_at > broke_at:
             return False
         await asyncio.sleep(POLL_INTERVAL_S)
-    return row.heard_at <= broke_at
+    return row.announced_at <= broke_at
 
 
 async def _was_restarted(
@@ -61,7 +61,7 @@
     while entry.now() - broke_at < upstreams.GONE_AFTER_S:
         if _is_replaced(entry, row):
             return True
-        if row.heard_at > broke_at:
+        if row.announced_at > broke_at:
             return False
         await asyncio.sleep(POLL_INTERVAL_S)
     return True
@@ -98,7 +98,7 @@
 
 
 def _is_replaced(entry: entry_state.Entry, row: upstreams.Row) -> bool:
-    return entry.upstreams.rows.get(row.said["id"]) is not row
+    return entry.upstreams.rows.get(row.announcement["id"]) is not row
 
 
 async def report_death(entry: entry_state.Entry, row: upstreams.Row) -> str:
@@ -119,8 +119,8 @@
 ) -> str:
     # Attempts that broke before this report count as well: the request that
     # caused the crash need not be the first whose connection ended.
-    fingerprints = set(row.broken)
-    for request_id in row.active:
+    fingerprints = set(row.unconfirmed_crashes)
+    for request_id in row.active_attempts:
         request = entry.requests.get(request_id)
         if request is not None:
             fingerprints.add(request.fingerprint)
@@ -129,12 +129,14 @@
         entry,
         {"kind": peer_updates.SUSPECTS, "fingerprints": sorted(fingerprints)},
     )
-    if entry.upstreams.rows.get(row.said["id"]) is row:
-        entry.upstreams.remove(row.said["id"])
-    events.warn(events.Event.UPSTREAM_GONE, row.said["id"], "died")
+    if entry.upstreams.rows.get(row.announcement["id"]) is row:
+        entry.upstreams.remove(row.announcement["id"])
+    events.warn(events.Event.UPSTREAM_GONE, row.announcement["id"], "died")
     outcome = await entry.control.submit(
         commands.ReportDeath(
-            row.said["id"], row.said["incarnation"], sorted(fingerprints)
+            row.announcement["id"],
+            row.announcement["incarnation"],
+            sorted(fingerprints),
         ),
         timeout_s=CONTROL_TIMEOUT_S,
     )
@@ -200,7 +202,7 @@
     rows = placement.candidates(
         entry, request.upstream, request.route, request.request_id
     )
-    instances = entry.upstreams.named(request.upstream)
+    instances = entry.upstreams.rows_for(request.upstream)
     isolated = sum(bool(row.isolated) for row in instances)
     max_isolated = max(1, int(len(instances) * MAX_ISOLATED_FRACTION))
     return rows if isolated < max_isolated else []
@@ -219,7 +221,7 @@
     try:
         while entry.now() < deadline:
             reply = await entry.control.read(
-                "alone", row.said["id"], timeout_s=CONTROL_TIMEOUT_S
+                "alone", row.announcement["id"], timeout_s=CONTROL_TIMEOUT_S
             )
             if _is_replaced(entry, row):
                 return False
@@ -243,7 +245,7 @@
     return [
         identity
         for identity, row in entry.upstreams.rows.items()
-        if row.active or row.broken
+        if row.active_attempts or row.unconfirmed_crashes
     ]
 
 
@@ -254,7 +256,7 @@
         row.isolated = isolations.get(identity, "")
         if not row.isolated:
             continue
-        for request_id in row.active:
+        for request_id in row.active_attempts:
             request = entry.requests.get(request_id)
             if request and request.fingerprint != row.isolated:
                 request.move_requested.set()
@@ -265,12 +267,12 @@
     row: upstreams.Row,
     request: model_requests.ModelRequest,
 ) -> object:
-    request.isolated_upstream = row.said["id"]
+    request.isolated_upstream = row.announcement["id"]
     outcome = await entry.control.submit(
         commands.Isolate(
             request.fingerprint,
-            row.said["id"],
-            row.said["incarnation"],
+            row.announcement["id"],
+            row.announcement["incarnation"],
             entry.name,
         ),
         timeout_s=CONTROL_TIMEOUT_S,
@@ -282,7 +284,9 @@
     else:
         request.isolated_upstream = ""
     if isinstance(outcome, outcomes.Stale) and not _is_replaced(entry, row):
-        entry.upstreams.remove(row.said["id"])  # its death is already recorded
+        entry.upstreams.remove(
+            row.announcement["id"]
+        )  # its death is already recorded
     return outcome
 
 
--- a/src/_arbutuswalk/entry/entry_state.py
+++ b/src/_arbutuswalk/entry/entry_state.py
@@ -12,8 +12,8 @@
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.limits import budget
 from _arbutuswalk.limits import fair
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import attempts
 from _arbutuswalk.streams import pool
@@ -95,7 +95,7 @@
         self.upstreams = upstreams.Table()
         self.queues: dict[str, fair.FairQueue] = {}
         self.retry_budgets: dict[str, budget.Budget] = {}
-        self.evidence = evidence.Evidence()
+        self.evidence = version_outcomes.VersionOutcomes()
         self.requests: dict[str, model_requests.ModelRequest] = {}
         self.request_ids_by_key: dict[tuple[str, str], str] = {}
         self.running_calls: dict[tuple[str, str], Any] = {}
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -10,8 +10,8 @@
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.entry import placement
 from _arbutuswalk.limits import fair
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.routing import versions
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import attempts
@@ -136,14 +136,16 @@
     try:
         result = await _run_or_move(state, row, on_events)
         if isinstance(result, attempts.Broke | attempts.Silent):
-            row.broken.add(request.fingerprint)
+            row.unconfirmed_crashes.add(request.fingerprint)
     except asyncio.CancelledError:
         crash_quarantine.release_isolation_in_background(entry, request)
         raise
     finally:
         placement.release(entry, row, request)
         entry.record_usage(
-            row.said["instance"], request.workspace, entry.now() - started
+            row.announcement["instance"],
+            request.workspace,
+            entry.now() - started,
         )
     entry.update_slot_speed(
         request.upstream,
@@ -188,13 +190,13 @@
             "events": len(request.answer.events),
         }
     return attempts.Order(
-        address=row.said["address"],
+        address=row.announcement["address"],
         path=model_requests.ROUTE_PATHS[request.route],
         request_id=request.request_id,
         attempt_id=uuid.uuid4().hex,
         body=body,
         priority=request.priority,
-        echo=row.said["echo"],
+        echo=row.announcement["echo"],
     )
 
 
@@ -220,9 +222,9 @@
     entry.metrics.count("attempts_failed", f'kind="{type(result).__name__}"')
     _add_to_history(state, f"ended by {type(result).__name__}")
     died, blamed = await _look_for_death(state, row, result)
-    if not died and request.fingerprint in row.broken:
-        row.broken.discard(request.fingerprint)
-        row.spared[request.fingerprint] = entry.now()
+    if not died and request.fingerprint in row.unconfirmed_crashes:
+        row.unconfirmed_crashes.discard(request.fingerprint)
+        row.survived_at[request.fingerprint] = entry.now()
     # An attempt lost with its upstream is no sign of overload.
     state.budget_exempt = died or _left_on_notice(state, row, result)
     if blamed == request.fingerprint:
@@ -300,18 +302,20 @@
         return  # a reclaimed instance says nothing about the version
     if isinstance(result, attempts.NotConnected):
         return
-    assigned, previous = versions.pick(
+    assigned, previous = versions.pick_version(
         entry.moves, request.upstream, request.route, request.request_id
     )
-    version = row.said["version"]
-    side = evidence.Side(request.upstream, version, request.route)
-    baseline = evidence.Side(request.upstream, previous, request.route)
-    cut_off = entry.evidence.note(
+    version = row.announcement["version"]
+    side = version_outcomes.OutcomeKey(request.upstream, version, request.route)
+    baseline = version_outcomes.OutcomeKey(
+        request.upstream, previous, request.route
+    )
+    cut_off = entry.evidence.record(
         side,
         failed=not isinstance(result, attempts.Completed),
         latency_s=first_token_s[0] if first_token_s else 0.0,
         baseline=baseline if previous else None,
-        on_trial=bool(previous) and version == assigned,
+        is_new_version=bool(previous) and version == assigned,
     )
     if cut_off:
         events.warn(events.Event.VERSION_CUT_OFF, *side)
@@ -339,7 +343,7 @@
 def _record_latency(
     entry: entry_state.Entry, row: upstreams.Row, name: str, seconds: float
 ) -> None:
-    labels = f'upstream="{row.name}",version="{row.said["version"]}"'
+    labels = f'upstream="{row.name}",version="{row.announcement["version"]}"'
     entry.metrics.record(name, labels, seconds)
 
 
--- a/src/_arbutuswalk/entry/link_handler.py
+++ b/src/_arbutuswalk/entry/link_handler.py
@@ -83,13 +83,13 @@
         "draining": entry.draining,
         "upstreams": {
             identity: {
-                "said": row.said,
+                "said": row.announcement,
                 "health": row.health(now).value,
                 "load": row.load,
-                "active": len(row.active),
+                "active": len(row.active_attempts),
                 "isolated": row.isolated,
-                "blocks": len(row.index.blocks),
-                "trust": row.index.trust,
+                "blocks": len(row.prefix_index.blocks),
+                "trust": row.prefix_index.trust,
             }
             for identity, row in entry.upstreams.rows.items()
         },
@@ -106,7 +106,7 @@
         "copies": len(entry.copies),
         "waiting": {name: len(q) for name, q in entry.queues.items()},
         "evidence": entry.evidence.report(),
-        "cut": ["|".join(side) for side in entry.evidence.cut],
+        "cut": ["|".join(side) for side in entry.evidence.cut_off],
         "counters": {
             f"{name}{{{labels}}}": count
             for (name, labels), count in entry.metrics.counters.items()
--- a/src/_arbutuswalk/entry/maintenance.py
+++ b/src/_arbutuswalk/entry/maintenance.py
@@ -36,7 +36,9 @@
 
 def _expire_upstreams(entry: entry_state.Entry) -> None:
     for gone in upstreams.expire(entry.upstreams, entry.now()):
-        events.log(events.Event.UPSTREAM_GONE, gone.row.said["id"], gone.reason)
+        events.log(
+            events.Event.UPSTREAM_GONE, gone.row.announcement["id"], gone.reason
+        )
     while len(entry.death_reports) > MAX_DEATH_REPORTS:
         entry.death_reports.pop(next(iter(entry.death_reports)))
 
--- a/src/_arbutuswalk/entry/migration.py
+++ b/src/_arbutuswalk/entry/migration.py
@@ -18,7 +18,7 @@
 
 def start_moving(entry: entry_state.Entry, row: upstreams.Row) -> None:
     """Starts to move the requests that run on a leaving upstream."""
-    events.log(events.Event.UPSTREAM_LEAVING, row.said["id"])
+    events.log(events.Event.UPSTREAM_LEAVING, row.announcement["id"])
     entry.track_task(asyncio.ensure_future(_request_moves(entry, row)))
 
 
@@ -29,7 +29,7 @@
     """
     running = [
         entry.requests[request_id]
-        for request_id in row.active
+        for request_id in row.active_attempts
         if request_id in entry.requests
     ]
     running.sort(key=lambda request: -request.remaining_tokens)
@@ -73,7 +73,7 @@
         async with asyncio.timeout(timeout_s):
             data = await _download_cache(entry, row, request)
             if data and await _upload_cache(entry, target, data):
-                target.index.note(request.features.blocks)
+                target.prefix_index.record(request.features.blocks)
                 entry.metrics.count("caches_moved")
     except (TimeoutError, aiohttp.ClientError, OSError):
         entry.metrics.count("caches_not_moved")
@@ -84,7 +84,7 @@
     row: upstreams.Row,
     request: model_requests.ModelRequest,
 ) -> bytes:
-    url = f"http://{row.said['address']}/v1/cache/{request.request_id}"
+    url = f"http://{row.announcement['address']}/v1/cache/{request.request_id}"
     async with entry.session.get(url) as response:
         return await response.read() if response.status == 200 else b""
 
@@ -92,6 +92,6 @@
 async def _upload_cache(
     entry: entry_state.Entry, row: upstreams.Row, data: bytes
 ) -> bool:
-    url = f"http://{row.said['address']}/v1/cache"
+    url = f"http://{row.announcement['address']}/v1/cache"
     async with entry.session.put(url, data=data) as response:
         return response.status == 200
--- a/src/_arbutuswalk/entry/placement.py
+++ b/src/_arbutuswalk/entry/placement.py
@@ -7,8 +7,8 @@
 from _arbutuswalk.entry import model_requests
 from _arbutuswalk.limits import fair
 from _arbutuswalk.routing import choose
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.routing import versions
 from _arbutuswalk.streams import answer
 
@@ -34,13 +34,20 @@
 ) -> list[upstreams.Row]:
     """Returns the upstreams of the version assigned to a request."""
     rows = upstreams.usable(entry.upstreams, name, entry.now())
-    assigned, fallback = versions.pick(entry.moves, name, route, request_id)
-    cut_off = evidence.Side(name, assigned, route) in entry.evidence.cut
+    assigned, fallback = versions.pick_version(
+        entry.moves, name, route, request_id
+    )
+    cut_off = (
+        version_outcomes.OutcomeKey(name, assigned, route)
+        in entry.evidence.cut_off
+    )
     if not cut_off:
-        chosen = [row for row in rows if row.said["version"] == assigned]
+        chosen = [
+            row for row in rows if row.announcement["version"] == assigned
+        ]
         if chosen or not fallback:
             return chosen
-    return [row for row in rows if row.said["version"] == fallback]
+    return [row for row in rows if row.announcement["version"] == fallback]
 
 
 def early_refusal(
@@ -67,7 +74,7 @@
             "no",
             RETRY_AFTER_S,
         )
-    slots = sum(row.said["slots"] for row in rows)
+    slots = sum(row.announcement["slots"] for row in rows)
     queue = entry.queue_for(request.upstream)
     ticket = _make_ticket(request, None)
     cost_ahead = queue.cost_ahead(ticket, _total_weight(entry))
@@ -153,9 +160,9 @@
 
 def reserve(row: upstreams.Row, request: model_requests.ModelRequest) -> None:
     """Reserves a slot of an upstream for a request."""
-    row.sent += 1
-    row.active[request.request_id] = None
-    row.index.note(request.features.blocks)
+    row.sent_since_report += 1
+    row.active_attempts[request.request_id] = None
+    row.prefix_index.record(request.features.blocks)
 
 
 def release(
@@ -164,8 +171,8 @@
     request: model_requests.ModelRequest,
 ) -> None:
     """Ends a reservation and places waiting requests."""
-    row.ended += 1
-    row.active.pop(request.request_id, None)
+    row.ended_since_report += 1
+    row.active_attempts.pop(request.request_id, None)
     place_queued(entry, row.name)
 
 
--- a/src/_arbutuswalk/entry/service_routes.py
+++ b/src/_arbutuswalk/entry/service_routes.py
@@ -15,8 +15,8 @@
 from _arbutuswalk.entry import model_routes
 from _arbutuswalk.entry import placement
 from _arbutuswalk.routing import choose
-from _arbutuswalk.routing import evidence
 from _arbutuswalk.routing import upstreams
+from _arbutuswalk.routing import version_outcomes
 from _arbutuswalk.routing import versions
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.streams import answer
@@ -239,8 +239,8 @@
     call: ServiceCall,
     row: upstreams.Row,
 ) -> exchange.Result:
-    row.sent += 1
-    row.active[call.call_id] = None
+    row.sent_since_report += 1
+    row.active_attempts[call.call_id] = None
     started = entry.now()
     timeout_s = min(
         entry.settings["service_timeout_s"], call.deadline - started
@@ -253,10 +253,10 @@
             fresh=False,
         )
     finally:
-        row.ended += 1
-        row.active.pop(call.call_id, None)
+        row.ended_since_report += 1
+        row.active_attempts.pop(call.call_id, None)
         entry.record_usage(
-            row.said["instance"], call.workspace, entry.now() - started
+            row.announcement["instance"], call.workspace, entry.now() - started
         )
     if isinstance(result, exchange.NotOpened):
         row.failed_at = entry.now()
@@ -267,7 +267,7 @@
 def make_order(call: ServiceCall, row: upstreams.Row) -> exchange.Order:
     """Returns the order that sends a call to an upstream."""
     return exchange.Order(
-        address=row.said["address"],
+        address=row.announcement["address"],
         method=call.method,
         path=call.path,
         headers=call.headers,
@@ -276,7 +276,7 @@
         attempt_id=uuid.uuid4().hex,
         key=call.key,
         priority=call.priority,
-        echo=row.said["echo"],
+        echo=row.announcement["echo"],
     )
 
 
@@ -292,15 +292,19 @@
     if leaving or isinstance(result, exchange.NotOpened):
         return
     name, route = call.upstream["name"], call.route["name"]
-    assigned, previous = versions.pick(entry.moves, name, route, call.call_id)
-    version = row.said["version"]
+    assigned, previous = versions.pick_version(
+        entry.moves, name, route, call.call_id
+    )
+    version = row.announcement["version"]
     ok = isinstance(result, exchange.Reply) and result.status < 500
-    entry.evidence.note(
-        evidence.Side(name, version, route),
+    entry.evidence.record(
+        version_outcomes.OutcomeKey(name, version, route),
         failed=not ok,
         latency_s=latency_s,
-        baseline=evidence.Side(name, previous, route) if previous else None,
-        on_trial=bool(previous) and version == assigned,
+        baseline=version_outcomes.OutcomeKey(name, previous, route)
+        if previous
+        else None,
+        is_new_version=bool(previous) and version == assigned,
     )
     labels = f'upstream="{name}",version="{version}"'
     entry.metrics.record("service", labels, latency_s)
--- a/src/_arbutuswalk/entry/upstream_announcements.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -91,7 +91,7 @@
     """Applies an announcement that was made ``age_s`` seconds ago."""
     heard_at = entry.now() - age_s
     outcome = upstreams.announce(
-        entry.upstreams, announcement, heard_at=heard_at
+        entry.upstreams, announcement, announced_at=heard_at
     )
     if isinstance(outcome, upstreams.Refused):
         return outcome
@@ -135,14 +135,14 @@
     if replaced is None:
         return
     earliest = entry.now() - RESTART_WINDOW_S
-    replaced.broken |= {
+    replaced.unconfirmed_crashes |= {
         fingerprint
-        for fingerprint, spared_at in replaced.spared.items()
+        for fingerprint, spared_at in replaced.survived_at.items()
         if spared_at > earliest
     }
-    if not (replaced.broken or replaced.active):
+    if not (replaced.unconfirmed_crashes or replaced.active_attempts):
         return
-    if replaced.health(replaced.heard_at) is not upstreams.Health.LEAVING:
+    if replaced.health(replaced.announced_at) is not upstreams.Health.LEAVING:
         report = crash_quarantine.report_death(entry, replaced)
         entry.track_task(asyncio.ensure_future(report))
 
@@ -180,9 +180,11 @@
 
 def _apply_cache_event(entry: entry_state.Entry, event: dict[str, Any]) -> None:
     row = entry.upstreams.rows.get(event["id"])
-    if row is None or row.said["incarnation"] != event["incarnation"]:
+    if row is None or row.announcement["incarnation"] != event["incarnation"]:
         return
-    row.index.apply_event(event["sequence"], event["stored"], event["removed"])
+    row.prefix_index.apply_event(
+        event["sequence"], event["stored"], event["removed"]
+    )
 
 
 def _problem_response(
--- /dev/null
+++ b/src/_arbutuswalk/relay/admission.py
@@ -0,0 +1,180 @@
+"""Admission control: selects a request's route or refuses the request."""
+
+from typing import NamedTuple
+
+from _arbutuswalk.limits import quota
+from _arbutuswalk.relay import relay_state
+from _arbutuswalk.relay import request as requests
+from _arbutuswalk.routing import crashes
+from _arbutuswalk.routing import routetable
+from _arbutuswalk.state import routeconfig
+from _arbutuswalk.streams import replies
+
+STATUS_BAD_REQUEST = 400
+STATUS_UNAUTHORIZED = 401
+STATUS_NOT_FOUND = 404
+STATUS_CONTENT_TOO_LARGE = 413
+STATUS_TOO_MANY_REQUESTS = 429
+STATUS_UNAVAILABLE = 503
+STARTUP_RETRY_AFTER_S = 0.3
+"""Retry-After of an entry that has no configuration yet."""
+MAX_RETRY_AFTER_S = 5.0
+RETRY_AFTER_JITTER = 0.5
+"""Random increase of Retry-After, as a share of the wait."""
+DEFAULT_DEADLINE_S = 60.0
+"""Deadline of a caller that sets none; the route's time-out is shorter."""
+
+
+class IncomingRequest(NamedTuple):
+    """A request as it was read, before admission.
+
+    Attributes:
+        id: Id of the caller's attempt, empty if there is none.
+        method: HTTP method.
+        host: Host header in lower case, without the port.
+        path: Path without the query.
+        target: Path and query as received.
+        key: API key of the caller, empty if there is none.
+        deadline_s: Time the caller waits, None if not specified.
+        headers: Headers to forward.
+        body: Complete body.
+        prompt: Prompt of a model request, None for other requests.
+        last_event: Id of the last event that the caller has, or empty.
+        came_at: When it was read, in seconds.
+    """
+
+    id: str
+    method: str
+    host: str
+    path: str
+    target: str
+    key: str
+    deadline_s: float | None
+    headers: replies.Headers
+    body: bytes
+    prompt: requests.Prompt | None
+    last_event: str
+    came_at: float
+
+
+class Refusal(NamedTuple):
+    """Refusal of a request, which has not run and will not be run."""
+
+    status: int
+    reason: str
+    retry_after_s: float = 0.0
+
+
+def admit(
+    relay: relay_state.Relay, incoming: IncomingRequest
+) -> requests.Request | Refusal:
+    """Returns the request to relay, or its refusal."""
+    if relay.route_table is None:
+        reason = "no configuration yet"
+        return Refusal(STATUS_UNAVAILABLE, reason, STARTUP_RETRY_AFTER_S)
+    route = routetable.find_route(
+        relay.route_table, incoming.host, incoming.path
+    )
+    if route is None:
+        return Refusal(STATUS_NOT_FOUND, "no such route")
+    if not incoming.id:
+        return Refusal(STATUS_BAD_REQUEST, "the request bears no id")
+    max_body_bytes = relay.route_table.config.limits.max_body_bytes
+    if max_body_bytes and len(incoming.body) > max_body_bytes:
+        return Refusal(
+            STATUS_CONTENT_TOO_LARGE, f"body over {max_body_bytes} bytes"
+        )
+    workspace = None
+    if relay.route_table.workspaces_by_key and not route.anonymous:
+        workspace = relay.route_table.workspaces_by_key.get(incoming.key)
+        if workspace is None:
+            return Refusal(STATUS_UNAUTHORIZED, "unknown key")
+    request = _make_request(relay, incoming, route, workspace)
+    if request.fingerprint in relay.refused_fingerprints:
+        reason = f"it crashed {crashes.DEATHS_TO_REFUSE} endpoints"
+        return Refusal(STATUS_UNAVAILABLE, reason, crashes.DEATH_RETENTION_S)
+    relay.lateness.record(route.name, incoming.deadline_s)
+    refusal = _take_quota(relay, request)
+    return refusal or request
+
+
+def _make_request(
+    relay: relay_state.Relay,
+    incoming: IncomingRequest,
+    route: routeconfig.Route,
+    workspace: routeconfig.Workspace | None,
+) -> requests.Request:
+    waits_s = incoming.deadline_s
+    if waits_s is None:
+        waits_s = DEFAULT_DEADLINE_S
+    return requests.Request(
+        id=incoming.id,
+        method=incoming.method,
+        target=incoming.target,
+        headers=incoming.headers,
+        body=incoming.body,
+        route=route,
+        upstream=routetable.pick_target(route, relay.rng),
+        workspace=workspace,
+        came_at=incoming.came_at,
+        deadline=incoming.came_at + min(waits_s, route.timeout_s),
+        waits_s=waits_s,
+        prompt=incoming.prompt,
+        last_event=incoming.last_event,
+        fingerprint=crashes.fingerprint(
+            workspace.name if workspace else "", incoming.target, incoming.body
+        ),
+    )
+
+
+def _take_quota(
+    relay: relay_state.Relay, request: requests.Request
+) -> Refusal | None:
+    """Takes the request's cost from its workspace's quota."""
+    workspace = request.workspace
+    if workspace is None or not workspace.rate_per_s:
+        return None
+    now = relay.now()
+    bucket = _quota_bucket(relay, workspace, now)
+    wait_s = bucket.take(
+        quota_cost(request),
+        now,
+        entries=relay.entry_count,
+        unreachable=relay.unreachable_entries,
+        late=relay.lateness.is_late(request, now),
+    )
+    if not wait_s:
+        return None
+    # Random, so that requests refused together are not all sent again at once.
+    wait_s *= 1 + RETRY_AFTER_JITTER * relay.rng.random()
+    return Refusal(
+        STATUS_TOO_MANY_REQUESTS,
+        f"quota of workspace {workspace.name} is used up:"
+        f" {bucket.level:.0f} of {bucket.burst:.0f} tokens, rate"
+        f" {bucket.rate:.0f}, part {bucket.usable_fraction:.2f}, others take"
+        f" {bucket.others_rate:.0f}, heard"
+        f" {now - bucket.last_report_at:.2f} s ago",
+        min(MAX_RETRY_AFTER_S, wait_s),
+    )
+
+
+def _quota_bucket(
+    relay: relay_state.Relay, workspace: routeconfig.Workspace, now: float
+) -> quota.Bucket:
+    rate, burst = workspace.rate_per_s, workspace.burst
+    if workspace.by_tokens:
+        rate, burst = quota.effective_quota(rate, burst, relay.options.quota)
+    bucket = relay.quota_buckets.get(workspace.name)
+    if bucket is None:
+        bucket = quota.Bucket(rate=rate, burst=burst, now=now)
+        relay.quota_buckets[workspace.name] = bucket
+    elif (bucket.rate, bucket.burst) != (rate, burst):
+        bucket.resize(rate, burst, now)
+    return bucket
+
+
+def quota_cost(request: requests.Request) -> int:
+    """Returns the cost of a request in its workspace's quota."""
+    if not request.workspace.by_tokens:
+        return 1
+    return request.tokens or request.workspace.default_tokens
--- /dev/null
+++ b/src/_arbutuswalk/relay/config_fetch.py
@@ -0,0 +1,122 @@
+"""Fetches a new route configuration from control in parts.
+
+All members announce a new version to an entry at the same time, and a large
+configuration takes longer to transfer over an entry's link than a watch may
+last. It is therefore fetched from one member only, in parts that let other
+messages pass in between. If the member fails, another one continues at the same
+offset, since all members encode a version to the same bytes.
+"""
+
+import asyncio
+from collections.abc import Callable
+from collections.abc import Sequence
+from typing import Any
+from typing import Protocol
+
+from _arbutuswalk.base import events
+from _arbutuswalk.wire import compressed_json
+from _arbutuswalk.wire.gen.arbutus import ttypes
+
+PART_TIMEOUT_S = 0.5
+"""Time-out for one part: ten times its transfer time at 5 Mbit/s."""
+PAUSE_S = 0.1
+"""Pause after all members have failed to send a part."""
+
+
+class ControlMember(Protocol):
+    """A watched member of the control group.
+
+    Attributes:
+        address: Link address of the member.
+        link: Link to the member.
+        connected: Whether the last watch succeeded.
+        routes_version: Newest configuration version announced by the member.
+    """
+
+    address: str
+    link: Any
+    connected: bool
+    routes_version: int
+
+
+class PartialConfig:
+    """Parts of one version received so far."""
+
+    def __init__(self):
+        self.version = 0
+        self.data = b""
+
+    def add_part(self, part: ttypes.RoutesPart, offset: int) -> bool:
+        """Adds the part at ``offset``; returns whether all were received."""
+        if part.version != self.version:
+            self.version = part.version
+            self.data = b""
+        if offset == len(self.data):
+            self.data += part.data
+        return len(self.data) >= part.size
+
+
+async def fetch(
+    members: Callable[[], Sequence[ControlMember]],
+    version_in_use: Callable[[], int],
+    apply_config: Callable[[Any, str], None],
+) -> None:
+    """Fetches until the newest version announced by any member is in use.
+
+    Args:
+        members: Returns the watched members.
+        version_in_use: Returns the version in use.
+        apply_config: Applies a configuration, given the address it came from.
+    """
+    partial = PartialConfig()
+    failed_addresses: set[str] = set()
+    while True:
+        newer_members = [
+            member
+            for member in members()
+            if member.connected and member.routes_version > version_in_use()
+        ]
+        if not newer_members:
+            return
+        untried_members = [
+            member
+            for member in newer_members
+            if member.address not in failed_addresses
+        ]
+        if not untried_members:
+            failed_addresses.clear()
+            await asyncio.sleep(PAUSE_S)
+            continue
+        chosen_member = max(
+            untried_members, key=lambda member: member.routes_version
+        )
+        offset = len(partial.data)
+        part = await chosen_member.link.call(
+            ttypes.RoutesRequest(offset=offset), timeout_s=PART_TIMEOUT_S
+        )
+        if (
+            not isinstance(part, ttypes.RoutesPart)
+            or part.version <= version_in_use()
+        ):
+            failed_addresses.add(chosen_member.address)
+            continue
+        if partial.add_part(part, offset):
+            _apply_complete(
+                partial, chosen_member.address, apply_config, failed_addresses
+            )
+
+
+def _apply_complete(
+    partial: PartialConfig,
+    address: str,
+    apply_config: Callable[[Any, str], None],
+    failed_addresses: set[str],
+) -> None:
+    data, partial.data = partial.data, b""
+    try:
+        values = compressed_json.decode(data)
+    except ValueError as error:
+        failed_addresses.add(address)
+        events.record(events.Event.ROUTES_UNREADABLE, address, str(error))
+        return
+    apply_config(values, address)
--- /dev/null
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -0,0 +1,322 @@
+"""Watches control for endpoints, routes, rollouts and other entries' state.
+
+The entry watches every known control process and merges their replies. While
+none answers, it continues with the last known state.
+"""
+
+import asyncio
+import statistics
+from collections.abc import Awaitable
+from typing import Any
+
+from _arbutuswalk.base import events
+from _arbutuswalk.relay import config_fetch
+from _arbutuswalk.relay import relay_state
+from _arbutuswalk.routing import crashes
+from _arbutuswalk.routing import directory
+from _arbutuswalk.routing import routetable
+from _arbutuswalk.state import routeconfig
+from _arbutuswalk.wire import compressed_json
+from _arbutuswalk.wire import link
+from _arbutuswalk.wire.gen.arbutus import ttypes
+
+WATCH_TIMEOUT_S = 1.2
+"""Time-out of a watch: three times as long as control holds it open."""
+RETRY_PAUSE_S = 0.2
+"""Pause after a failed watch."""
+STARTUP_RETRY_PAUSE_S = 0.05
+"""The same before the first configuration: control may be starting at the same
+time."""
+ENDPOINT_EXPIRY_S = 20.0
+"""Time without an announcement after which an endpoint is removed, the same as
+at control."""
+UNLISTED_PROCESS_TIMEOUT_S = 30.0
+"""Time without an answer after which a control process that is not a seed is no
+longer watched."""
+
+
+class ControlFeed:
+    """A watched control process.
+
+    Attributes:
+        address: Link address of the process.
+        link: Link to the process.
+        session: Identifies its start; revisions are valid within a session.
+        revision: Newest revision of its directory received.
+        last_answer_at: When it last answered, in seconds.
+        term: Term in which it is the leader, 0 if it is not.
+        connected: Whether the last watch succeeded.
+        routes_version: Newest route configuration version it announced.
+        clock_offset_s: Its wall clock minus ours, None before it answered.
+        reported_loads: Own loads last reported to it, by endpoint.
+        reported_quota_use: Own quota use last reported to it, by workspace.
+        task: Task that watches it.
+    """
+
+    def __init__(self, *, address: str, now: float):
+        self.address = address
+        self.link = link.Link(address=address)
+        self.session = ""
+        self.revision = 0
+        self.last_answer_at = now
+        self.connected = False
+        self.routes_version = 0
+        self.term = 0
+        self.clock_offset_s: float | None = None
+        self.reported_quota_use: dict[str, float] = {}
+        self.reported_loads: dict[str, relay_state.Load] = {}
+        self.task: asyncio.Task | None = None
+
+
+class ControlWatcher:
+    """Watches all control processes known to an entry.
+
+    Attributes:
+        relay: State of the entry, which the replies update.
+        seeds: Link addresses from the settings.
+        listen_address: Address that accepts callers' requests.
+        feeds: Watched control process by link address.
+        connected_since: Since when at least one control process has been
+            answering without interruption, None while none does.
+        fetch_task: Fetches a new configuration, None before the first.
+    """
+
+    def __init__(
+        self, *, relay: relay_state.Relay, seeds: list[str], listen_address: str
+    ):
+        self.relay = relay
+        self.seeds = seeds
+        self.listen_address = listen_address
+        self.feeds: dict[str, ControlFeed] = {}
+        self.connected_since: float | None = None
+        self.fetch_task: asyncio.Task | None = None
+
+    def tick(self) -> None:
+        """Updates the set of watched processes and expires old state."""
+        now = self.relay.now()
+        for address in self.seeds:
+            self._watch_address(address)
+        for address, feed in list(self.feeds.items()):
+            timed_out = now - feed.last_answer_at > UNLISTED_PROCESS_TIMEOUT_S
+            if timed_out and address not in self.seeds:
+                del self.feeds[address]
+                feed.task.cancel()
+                _run_in_background(feed.link.stop())
+        self._expire_endpoints(now)
+        confirmed_suspects = crashes.resolve_suspects(
+            self.relay.crashes,
+            self.relay.directory,
+            now,
+            self.relay.options.heartbeat_s,
+        )
+        for suspect in confirmed_suspects:
+            events.record(
+                events.Event.DEATH_NOTED,
+                suspect.fingerprint,
+                suspect.endpoint_id,
+            )
+
+    def _expire_endpoints(self, now: float) -> None:
+        """Removes endpoints without announcements, unless control is lost.
+
+        Without control, the entry continues with the known endpoints.
+        """
+        if not any(feed.connected for feed in self.feeds.values()):
+            self.connected_since = None
+            return
+        if self.connected_since is None:
+            self.connected_since = now
+        if now - self.connected_since > ENDPOINT_EXPIRY_S:
+            directory.expire(self.relay.directory, now, ENDPOINT_EXPIRY_S)
+
+    async def stop(self) -> None:
+        """Stops watching."""
+        if self.fetch_task is not None:
+            self.fetch_task.cancel()
+        for feed in self.feeds.values():
+            feed.task.cancel()
+        for feed in self.feeds.values():
+            await feed.link.stop()
+
+    def _watch_address(self, address: str) -> None:
+        if address not in self.feeds:
+            feed = ControlFeed(address=address, now=self.relay.now())
+            self.feeds[address] = feed
+            feed.task = asyncio.ensure_future(self._watch(feed))
+
+    async def _watch(self, feed: ControlFeed) -> None:
+        while True:
+            reply = await feed.link.call(
+                self._make_watch_message(feed), timeout_s=WATCH_TIMEOUT_S
+            )
+            if isinstance(reply, ttypes.WatchReply):
+                self._apply_reply(feed, reply)
+                continue
+            if feed.connected:
+                feed.connected = False
+                reason = getattr(reply, "reason", "no answer")
+                events.record(events.Event.CONTROL_LOST, feed.address, reason)
+            feed.term = 0
+            if isinstance(reply, link.TimedOut):
+                # The connection may be dead while a new one would work.
+                feed.link.close("timed out")
+            known = self.relay.route_table is not None
+            await asyncio.sleep(
+                RETRY_PAUSE_S if known else STARTUP_RETRY_PAUSE_S
+            )
+
+    def _make_watch_message(self, feed: ControlFeed) -> ttypes.Watch:
+        report = self._report()
+        feed.reported_quota_use = report["taken"]
+        feed.reported_loads = dict(report["loads"])
+        return ttypes.Watch(
+            entry=self.relay.name,
+            incarnation=self.relay.incarnation,
+            session=feed.session,
+            version=feed.revision,
+            routes_version=max(feed.routes_version, self.relay.routes_version),
+            report=compressed_json.encode(report),
+        )
+
+    def _report(self) -> dict[str, Any]:
+        relay = self.relay
+        return {
+            "entry": relay.name,
+            "address": self.listen_address,
+            "domain": relay.domain,
+            "ready": relay.ready,
+            "left": relay.draining,
+            "routes_version": relay.routes_version,
+            "loads": relay.own_loads,
+            "wall": relay.wall(),
+            "deaths": {
+                fingerprint: sorted(death_times)
+                for fingerprint, death_times in relay.crashes.deaths.items()
+            },
+            "usage": relay.usage.counts,
+            "taken": {
+                name: bucket.taken
+                for name, bucket in relay.quota_buckets.items()
+            },
+            "outcomes": [
+                [
+                    *key,
+                    outcomes.ran,
+                    outcomes.failed,
+                    outcomes.timed,
+                    outcomes.slow,
+                ]
+                for key, outcomes in relay.outcomes.items()
+            ],
+        }
+
+    def _apply_reply(self, feed: ControlFeed, reply: ttypes.WatchReply) -> None:
+        now = self.relay.now()
+        news = compressed_json.decode(reply.news)
+        if not feed.connected:
+            feed.connected = True
+            events.record(
+                events.Event.CONTROL_FOUND, feed.address, news["term"]
+            )
+        feed.last_answer_at = now
+        feed.session, feed.revision = reply.session, reply.version
+        feed.term = news["term"]
+        feed.clock_offset_s = news["wall"] - self.relay.wall()
+        for fields in news["endpoints"]:
+            announcement = directory.from_json(fields)
+            directory.announce(self.relay.directory, announcement, now)
+        for address in news["members"]:
+            self._watch_address(address)
+        feed.routes_version = news["routes_version"]
+        self._fetch_newer_routes(feed)
+        self._merge_rollouts(news["rollouts"])
+        self._update_other_loads(feed, news["loads"])
+        self._record_quota_use(feed, news["taken"])
+        self.relay.entry_count = max(1, news["entries"])
+        self.relay.unreachable_entries = news["silent"]
+        self.relay.refused_fingerprints = frozenset(news["refused"])
+        self._correct_clock()
+        self.relay.notify_waiters()
+
+    def _fetch_newer_routes(self, feed: ControlFeed) -> None:
+        """Starts fetching a configuration newer than the one in use."""
+        is_idle = self.fetch_task is None or self.fetch_task.done()
+        if is_idle and feed.routes_version > self.relay.routes_version:
+            self.fetch_task = asyncio.ensure_future(
+                config_fetch.fetch(
+                    lambda: list(self.feeds.values()),
+                    lambda: self.relay.routes_version,
+                    self._apply_fetched_routes,
+                )
+            )
+
+    def _apply_fetched_routes(
+        self, values: dict[str, Any], source: str
+    ) -> None:
+        apply_routes(self.relay, values, source)
+        self.relay.notify_waiters()
+
+    def _merge_rollouts(self, rollouts: dict[str, list]) -> None:
+        """Keeps the newest step of each rollout, from any control process."""
+        for upstream, row in rollouts.items():
+            known = self.relay.rollouts.get(upstream)
+            if known is None or _rollout_order(row) > _rollout_order(known):
+                self.relay.rollouts[upstream] = row
+
+    def _update_other_loads(
+        self, feed: ControlFeed, loads: dict[str, list[int]]
+    ) -> None:
+        """Sets other entries' loads: the totals minus our own share."""
+        self.relay.other_loads = {
+            name: relay_state.Load(
+                max(0, running - own_share.running),
+                max(0, tokens - own_share.waiting_tokens),
+            )
+            for name, (running, tokens) in loads.items()
+            for own_share in [feed.reported_loads.get(name, relay_state.Load())]
+        }
+
+    def _record_quota_use(
+        self, feed: ControlFeed, taken: dict[str, float]
+    ) -> None:
+        """Records other entries' quota use: the totals minus our own share."""
+        now = self.relay.now()
+        for name, bucket in self.relay.quota_buckets.items():
+            own_share = feed.reported_quota_use.get(name, 0.0)
+            bucket.record_report(taken.get(name, 0.0) - own_share, now)
+
+    def _correct_clock(self) -> None:
+        """Corrects a clock step by the median offset of all clocks."""
+        offsets = [
+            feed.clock_offset_s
+            for feed in self.feeds.values()
+            if feed.clock_offset_s is not None
+        ]
+        self.relay.usage.clock_offset_s = statistics.median([0.0, *offsets])
+
+
+def apply_routes(
+    relay: relay_state.Relay, values: dict[str, Any], source: str
+) -> None:
+    """Puts a route configuration into use if it is newer than the current."""
+    config = routeconfig.from_json(values)
+    before = relay.routes_version
+    if config.version <= before:
+        return
+    relay.route_table = routetable.RouteTable(config=config)
+    events.record(events.Event.ROUTES_IN_FORCE, config.version, before, source)
+
+
+def _rollout_order(row: list) -> tuple[int, int]:
+    started_ms, step = row[4], row[3]
+    return started_ms, step
+
+
+_background_tasks: set[asyncio.Task] = set()
+
+
+def _run_in_background(coroutine: Awaitable[None]) -> None:
+    """Runs a coroutine, keeping a reference to its task until it is done."""
+    task = asyncio.ensure_future(coroutine)
+    _background_tasks.add(task)
+    task.add_done_callback(_background_tasks.discard)
--- a/src/_arbutuswalk/relay/delivery.py
+++ b/src/_arbutuswalk/relay/delivery.py
@@ -1,97 +1,102 @@
-"""The answer to one caller, over all attempts that make it up.
+"""The answer to one caller, assembled from one or more attempts.
 
-A resumed stream keeps the head of its first run, and only whole events go out,
-so that a run that broke off inside an event can be continued by another.
+A resumed stream keeps the status and headers of its first attempt. Only
+complete events are forwarded, so that an attempt that ended within an event can
+be continued by another one.
 """
 
-from _arbutuswalk.relay import core
-from _arbutuswalk.relay import events as sse
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
+from _arbutuswalk.relay import sse
 from _arbutuswalk.streams import framing
 from _arbutuswalk.streams import replies
 
 
 class Delivery:
-    """What a caller has been sent.
+    """State of the answer to one caller.
 
     Attributes:
+        relay: State of the entry.
         request: The request.
-        caller: How to answer.
-        left: Whether the caller has gone.
-        started: Whether status and headers have gone out.
-        last_event: Id of the last event that the caller has.
-        events: Events sent.
-        first_at: When the first event went out, in seconds.
-        wake: Called when the caller leaves.
+        sender: Callbacks that send the answer.
+        caller_left: Whether the caller has closed the connection.
+        headers_sent: Whether status and headers have been sent.
+        last_event: Id of the last event sent to the caller.
+        event_count: Number of events sent.
+        first_event_at: When the first event was sent, in seconds.
+        framer: Splits the current attempt's data into events.
+        on_caller_left: Called when the caller closes the connection.
     """
 
     def __init__(
         self,
         *,
-        relay: core.Relay,
+        relay: relay_state.Relay,
         request: requests.Request,
-        caller: requests.Caller,
+        sender: requests.AnswerSender,
     ):
         self.relay = relay
         self.request = request
-        self.caller = caller
-        self.left = False
-        self.started = False
+        self.sender = sender
+        self.caller_left = False
+        self.headers_sent = False
         self.last_event = request.last_event
-        self.events = 0
-        self.first_at = 0.0
+        self.event_count = 0
+        self.first_event_at = 0.0
         self.framer = framing.Framer()
-        self.wake = lambda: None
+        self.on_caller_left = lambda: None
 
-    def leave(self) -> None:
-        """Notes that the caller has closed the connection."""
-        self.left = True
-        self.wake()
+    def mark_caller_left(self) -> None:
+        """Records that the caller has closed the connection."""
+        self.caller_left = True
+        self.on_caller_left()
 
-    async def start(self, status: int, headers: replies.Headers) -> None:
-        """Sends the head of the first run; later ones only go on."""
+    async def start_stream(self, status: int, headers: replies.Headers) -> None:
+        """Sends status and headers, unless an earlier attempt has."""
         self.framer = framing.Framer()
-        if self.started:
+        if self.headers_sent:
             return
-        self.started = True
-        await self.caller.head(
+        self.headers_sent = True
+        await self.sender.send_head(
             status, self.relay.dialect.answer_headers(headers)
         )
 
-    async def feed(self, data: bytes) -> None:
-        """Passes on the events that ``data`` completes."""
-        fresh = []
+    async def send_events(self, data: bytes) -> None:
+        """Sends the events that ``data`` completes."""
+        new_events = []
         for event in self.framer.feed(data):
-            event_id = sse.id_of(event)
-            if not sse.is_after(event_id, self.last_event):
+            event_id = sse.parse_id(event)
+            if not sse.is_newer(event_id, self.last_event):
                 continue
             self.last_event = event_id or self.last_event
-            fresh.append(event + framing.SEPARATOR)
-        if not fresh:
+            new_events.append(event + framing.SEPARATOR)
+        if not new_events:
             return
-        if not self.events:
-            self.first_at = self.relay.now()
-        self.events += len(fresh)
-        await self.caller.body(b"".join(fresh))
+        if not self.event_count:
+            self.first_event_at = self.relay.now()
+        self.event_count += len(new_events)
+        await self.sender.send_body(b"".join(new_events))
 
-    async def finish(self) -> None:
-        """Ends a complete stream; what is left is no whole event."""
+    async def finish_stream(self) -> None:
+        """Ends a complete stream, sending the rest after the last event."""
         if self.framer.rest:
-            await self.caller.body(self.framer.rest)
-        await self.caller.end()
+            await self.sender.send_body(self.framer.rest)
+        await self.sender.end_answer()
 
-    async def whole(
+    async def send_answer(
         self, status: int, headers: replies.Headers, body: bytes
     ) -> None:
-        """Sends an endpoint's whole answer."""
-        await self.own(status, self.relay.dialect.answer_headers(headers), body)
+        """Sends an endpoint's complete answer."""
+        await self.send_local_answer(
+            status, self.relay.dialect.answer_headers(headers), body
+        )
 
-    async def own(
+    async def send_local_answer(
         self, status: int, headers: replies.Headers, body: bytes
     ) -> None:
-        """Sends a whole answer with the headers given."""
-        self.started = True
-        await self.caller.head(status, headers)
+        """Sends a complete answer with exactly these headers."""
+        self.headers_sent = True
+        await self.sender.send_head(status, headers)
         if body:
-            await self.caller.body(body)
-        await self.caller.end()
+            await self.sender.send_body(body)
+        await self.sender.end_answer()
--- /dev/null
+++ b/src/_arbutuswalk/relay/placement.py
@@ -0,0 +1,136 @@
+"""Selects an endpoint for a request from the directory."""
+
+import zlib
+from typing import NamedTuple
+
+from _arbutuswalk.base import events
+from _arbutuswalk.relay import relay_state
+from _arbutuswalk.relay import request as requests
+from _arbutuswalk.routing import directory
+from _arbutuswalk.routing import selection
+
+SUSPECT_DURATION_S = 1.5
+"""Time for which an endpoint is used last after a failure: longer than it takes
+a heartbeat to show that it is alive, or a missing one that it is gone."""
+MAX_HEARTBEAT_INTERVALS = 3.3
+"""Heartbeat intervals without a heartbeat after which an endpoint is used last:
+one heartbeat may be lost and the next one late."""
+PER_MILLE = 1000
+
+
+class Placement(NamedTuple):
+    """The endpoint for a request, and the prompt tokens to be read there."""
+
+    endpoint: directory.Endpoint
+    uncached_tokens: int
+
+
+def find_placement(
+    relay: relay_state.Relay, request: requests.Request, tried: set[str]
+) -> Placement | None:
+    """Returns an endpoint that was not tried yet, None if there is none."""
+    now = relay.now()
+    rows = [
+        row
+        for row in relay.directory.rows.values()
+        if row.endpoint.upstream == request.upstream
+        and row.endpoint.state == directory.READY
+        and row.endpoint.id not in tried
+    ]
+    eligible = _filter_by_version(relay, request, rows)
+    prompt_profile = _prompt_profile(request)
+    outliers = relay.outlier_detector.outliers(
+        [row.endpoint.id for row in eligible], now
+    )
+    choice = selection.choose(
+        [_make_candidate(relay, row, now, outliers) for row in eligible],
+        prompt_profile,
+        relay.recent_parts.endpoints_holding(
+            _last_shared_part(prompt_profile), now
+        ),
+        (relay.rng.random(), relay.rng.random()),
+    )
+    if choice is None:
+        return None
+    return Placement(relay.directory.rows[choice.id].endpoint, choice.tokens)
+
+
+def record_sent(
+    relay: relay_state.Relay, request: requests.Request, endpoint: str
+) -> None:
+    """Records that the request's shared parts are sent to an endpoint."""
+    part = _last_shared_part(_prompt_profile(request))
+    if part:
+        relay.recent_parts.record(part, endpoint, relay.now())
+
+
+def mark_suspect(relay: relay_state.Relay, endpoint: str, reason: str) -> None:
+    """Makes a failed endpoint a last resort for a limited time."""
+    if relay.suspect_until.get(endpoint, 0.0) < relay.now():
+        events.record(events.Event.ENDPOINT_SUSPECT, endpoint, reason)
+    relay.suspect_until[endpoint] = relay.now() + SUSPECT_DURATION_S
+
+
+def _make_candidate(
+    relay: relay_state.Relay, row: directory.Row, now: float, outliers: set[str]
+) -> selection.Candidate:
+    endpoint_id = row.endpoint.id
+    own_load, other_load = (
+        relay.own_loads.get(endpoint_id),
+        relay.other_loads.get(endpoint_id, (0, 0)),
+    )
+    running, waiting_tokens = own_load or (0, 0)
+    silent_s = MAX_HEARTBEAT_INTERVALS * relay.options.heartbeat_s
+    doubtful = now - row.announced_at > silent_s or endpoint_id in outliers
+    return selection.Candidate(
+        id=endpoint_id,
+        running=running + other_load[0],
+        waiting_tokens=waiting_tokens + other_load[1],
+        slots=row.endpoint.slots,
+        near=row.endpoint.domain == relay.domain,
+        doubtful=doubtful or relay.suspect_until.get(endpoint_id, 0.0) > now,
+    )
+
+
+def _prompt_profile(
+    request: requests.Request,
+) -> selection.PromptProfile | None:
+    """Returns the prompt of a model request, None for other requests.
+
+    The last part is unique to the request, unless it is the only one.
+    """
+    if request.prompt is None:
+        return None
+    parts = request.prompt.parts
+    shared_parts = parts[:-1] or parts
+    return selection.PromptProfile(request.prompt.tokens_in, shared_parts)
+
+
+def _last_shared_part(prompt_profile: selection.PromptProfile | None) -> str:
+    return (
+        prompt_profile.parts[-1][0]
+        if prompt_profile is not None and prompt_profile.parts
+        else ""
+    )
+
+
+def _filter_by_version(
+    relay: relay_state.Relay,
+    request: requests.Request,
+    rows: list[directory.Row],
+) -> list[directory.Row]:
+    """Filters endpoints by the version that a rollout assigns to a request."""
+    rollout = relay.rollouts.get(request.upstream)
+    if rollout is None:
+        return rows
+    target, state, share = rollout[:3]
+    new = [row for row in rows if row.endpoint.version == target]
+    old = [row for row in rows if row.endpoint.version != target]
+    if state == "reverted":
+        return old
+    if state == "completed":
+        return new or old
+    share_position = zlib.crc32(request.id.encode()) % PER_MILLE
+    if share_position < share:
+        return new or old
+    return old if old or share < PER_MILLE else new
--- /dev/null
+++ b/src/_arbutuswalk/relay/relay_state.py
@@ -0,0 +1,244 @@
+"""State of an entry that relays requests unmodified."""
+
+import asyncio
+import random
+from collections.abc import Callable
+from typing import NamedTuple
+
+from _arbutuswalk.base import clock
+from _arbutuswalk.base import metrics
+from _arbutuswalk.limits import quota
+from _arbutuswalk.limits import retries
+from _arbutuswalk.relay import lateness
+from _arbutuswalk.relay import request as requests
+from _arbutuswalk.relay import usage
+from _arbutuswalk.routing import crashes
+from _arbutuswalk.routing import directory
+from _arbutuswalk.routing import outliers
+from _arbutuswalk.routing import recent_parts
+from _arbutuswalk.routing import routetable
+from _arbutuswalk.streams import pool
+
+DEFAULT_ENTRY_COUNT = 16
+"""Number of entries assumed to share a limit until control has reported it."""
+
+STARTUP_WAIT_S = 3.0
+"""Time after the process start in which requests wait for a configuration or an
+endpoint. Every endpoint has announced itself twice by then."""
+MAX_STARTUP_WAIT_S = 1.0
+"""Longest such wait of a single request."""
+FIRST_BYTE_WEIGHT = 0.05
+"""Weight of a new sample in the moving average of the time to the first byte,
+which so covers about twenty requests."""
+SLOW_FIRST_BYTE_FACTOR = 3.0
+"""Multiple of the average time to the first byte above which an answer is slow:
+faulty versions are several times slower."""
+
+
+class Options(NamedTuple):
+    """Settings of the data path.
+
+    Attributes:
+        retry_ratio: Retries allowed per window, as a share of its requests.
+        retry_extra: Retries allowed per window beyond that share.
+        retry_window_s: Length of the retry window.
+        usage_window_s: Length of a usage window.
+        quota: Permitted inaccuracy of quotas.
+        heartbeat_s: Heartbeat interval of endpoints.
+    """
+
+    retry_ratio: float
+    retry_extra: float
+    retry_window_s: float
+    usage_window_s: float
+    quota: quota.QuotaTolerance
+    heartbeat_s: float
+
+
+class Load(NamedTuple):
+    """Requests in progress, and prompt tokens that were not read yet."""
+
+    running: int = 0
+    waiting_tokens: int = 0
+
+
+class Outcomes:
+    """Request outcomes of one version of an upstream at this entry.
+
+    Attributes:
+        ran: Requests that ran.
+        failed: Those of them that failed.
+        timed: Those whose time to the first byte was compared with the average.
+        slow: Those of them whose first byte took several times as long as the
+            average on their route.
+    """
+
+    def __init__(self):
+        self.ran = 0
+        self.failed = 0
+        self.timed = 0
+        self.slow = 0
+
+
+class Relay:
+    """State of one entry, shared by the functions of the data path.
+
+    Attributes:
+        name: Id of the entry.
+        incarnation: Start time of this process, in Unix milliseconds.
+        domain: Failure domain of the entry.
+        dialect: HTTP conventions of the endpoints.
+        options: Settings of the data path.
+        now: Monotonic clock.
+        wall: Wall clock.
+        rng: Source of random numbers.
+        pool: Connections to endpoints.
+        route_table: Route configuration, None before the first.
+        directory: Known endpoints.
+        own_loads: Load from this entry by endpoint.
+        other_loads: Load from other entries by endpoint.
+        outlier_detector: Failure rates of endpoints that report good health.
+        crashes: Requests that were running when endpoints died.
+        refused_fingerprints: Requests to refuse, by order of control.
+        lateness: Longest deadlines of the callers of each route.
+        recent_parts: Endpoints that recently received shared prompt parts.
+        suspect_until: Time until which an endpoint is used last, by id.
+        retry_windows: Retry window by upstream.
+        quota_buckets: Quota bucket by workspace.
+        usage: Started requests by window and workspace.
+        outcomes: Outcomes by (upstream, version).
+        average_first_byte_s: Average time to the first byte, by route.
+        rollouts: Rollout rows from control, by upstream.
+        entry_count: Entries that share limits, including unreachable ones.
+        unreachable_entries: Those of them that control cannot reach.
+        draining: Whether the process is shutting down.
+        control_updated: Set and replaced at each update from control.
+        started_at: When the process started, in seconds.
+        metrics: Metrics of the entry.
+    """
+
+    def __init__(
+        self,
+        *,
+        name: str,
+        domain: str,
+        dialect: requests.Dialect,
+        options: Options,
+        now: clock.Clock = clock.monotonic,
+        wall: clock.Clock = clock.wall,
+        rng: random.Random | None = None,
+    ):
+        self.name = name
+        self.domain = domain
+        self.dialect = dialect
+        self.options = options
+        self.now = now
+        self.wall = wall
+        self.rng = rng or random.Random()
+        self.incarnation = int(wall() * clock.MS_PER_S)
+        self.pool = pool.Pool(read_reply=dialect.read, now=now)
+        self.route_table: routetable.RouteTable | None = None
+        self.directory = directory.Directory()
+        self.own_loads: dict[str, Load] = {}
+        self.other_loads: dict[str, Load] = {}
+        self.recent_parts = recent_parts.RecentParts()
+        self.lateness = lateness.LatenessTracker()
+        self.crashes = crashes.CrashTracker()
+        self.outlier_detector = outliers.OutlierDetector()
+        self.refused_fingerprints: frozenset[str] = frozenset()
+        self.suspect_until: dict[str, float] = {}
+        self.retry_windows: dict[str, retries.RetryWindow] = {}
+        self.quota_buckets: dict[str, quota.Bucket] = {}
+        self.usage = usage.Usage(window_s=options.usage_window_s)
+        self.outcomes: dict[tuple[str, str], Outcomes] = {}
+        self.average_first_byte_s: dict[str, float] = {}
+        self.rollouts: dict[str, list] = {}
+        self.entry_count = DEFAULT_ENTRY_COUNT
+        self.unreachable_entries = 0
+        self.draining = False
+        self.control_updated = asyncio.Event()
+        self.started_at = now()
+        self.metrics = metrics.Metrics()
+
+    @property
+    def routes_version(self) -> int:
+        """Version of the route configuration in use, 0 if there is none."""
+        return self.route_table.config.version if self.route_table else 0
+
+    @property
+    def ready(self) -> bool:
+        """Whether this entry accepts requests."""
+        return self.route_table is not None and not self.draining
+
+    def add_load(self, endpoint: str, running: int, tokens: int) -> None:
+        """Adds the amounts, which may be negative, to an endpoint's load."""
+        previous = self.own_loads.pop(endpoint, Load())
+        load = Load(
+            previous.running + running, previous.waiting_tokens + tokens
+        )
+        if load.running or load.waiting_tokens:
+            self.own_loads[endpoint] = load
+
+    def notify_waiters(self) -> None:
+        """Wakes all tasks that wait for an update from control."""
+        former_event, self.control_updated = (
+            self.control_updated,
+            asyncio.Event(),
+        )
+        former_event.set()
+
+    async def wait_until_known(self, is_known: Callable[[], bool]) -> bool:
+        """Waits until ``is_known()`` is true, but only shortly after the start.
+
+        A process that has just started is likely to receive the missing state
+        soon; one that has been running for a while is not.
+
+        Returns:
+            Whether ``is_known()`` is true now.
+        """
+        wait_until = min(
+            self.started_at + STARTUP_WAIT_S, self.now() + MAX_STARTUP_WAIT_S
+        )
+        while not is_known():
+            left_s = wait_until - self.now()
+            if left_s <= 0:
+                return False
+            try:
+                async with asyncio.timeout(left_s):
+                    await self.control_updated.wait()
+            except TimeoutError:
+                return is_known()
+        return True
+
+    def record_first_byte(
+        self, route: str, took_s: float, *, updates_average: bool
+    ) -> bool:
+        """Records a time to the first byte.
+
+        Args:
+            route: Name of the route.
+            took_s: Time to the first byte, in seconds.
+            updates_average: Whether to update the average with it; false for
+                a new version.
+
+        Returns:
+            Whether it took several times as long as the average.
+        """
+        average = self.average_first_byte_s.get(route)
+        if updates_average:
+            previous = took_s if average is None else average
+            self.average_first_byte_s[route] = previous + FIRST_BYTE_WEIGHT * (
+                took_s - previous
+            )
+        return average is not None and took_s > SLOW_FIRST_BYTE_FACTOR * average
+
+    def retry_window(self, upstream: str) -> retries.RetryWindow:
+        """Returns the upstream's retry window, creating it if needed."""
+        window = self.retry_windows.get(upstream)
+        if window is None:
+            window = self.retry_windows[upstream] = retries.RetryWindow(
+                ratio=self.options.retry_ratio,
+                extra=self.options.retry_extra,
+                window_s=self.options.retry_window_s,
+            )
+        return window
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -1,121 +1,138 @@
-"""Carries one request through: endpoints, retries, resumption, final answer."""
+"""Relays a request: endpoint selection, retries, resumption, final answer."""
 
 import json
 
 from _arbutuswalk.base import events
 from _arbutuswalk.relay import attempts
-from _arbutuswalk.relay import core
 from _arbutuswalk.relay import delivery
-from _arbutuswalk.relay import placing
+from _arbutuswalk.relay import placement
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
 from _arbutuswalk.relay import results
 from _arbutuswalk.streams import replies
 
 RETRY_AFTER_S = 0.5
-"""When a refused caller may come back: about as long as a crowded or lost
-endpoint needs to be noticed, left, and replaced by another."""
-PROBLEM_TYPE = b"application/problem+json"
+"""Retry-After of a refusal: about the time in which an overloaded or lost
+endpoint is detected, avoided and replaced by another."""
+PROBLEM_CONTENT_TYPE = b"application/problem+json"
 
 
 async def relay_request(
-    relay: core.Relay, request: requests.Request, to_caller: delivery.Delivery
+    relay: relay_state.Relay,
+    request: requests.Request,
+    caller_delivery: delivery.Delivery,
 ) -> None:
-    """Sends a request until it is answered, or gives it up at once."""
+    """Sends a request to endpoints until it is answered or has failed."""
     relay.retry_window(request.upstream).record_request(relay.now())
     tally = results.Tally()
     tried: set[str] = set()
-    fallback: results.Answered | None = None
+    last_answer: results.Answered | None = None
     result: results.Result = results.NotSent(reason="no endpoint is ready")
     endpoint_id = ""
     while True:
-        place = placing.place(relay, request, tried)
-        if place is None and not tried:
-            place = await _await_place(relay, request)
-        if place is None or not _may_arrive(relay, request, tally):
+        chosen = placement.find_placement(relay, request, tried)
+        if chosen is None and not tried:
+            chosen = await _wait_for_placement(relay, request)
+        if chosen is None or not _may_attempt(relay, request, tally):
             break
-        endpoint_id = place.endpoint.id
+        endpoint_id = chosen.endpoint.id
         tried.add(endpoint_id)
-        if to_caller.started:
+        if caller_delivery.headers_sent:
             events.record(
                 events.Event.RESUMED,
                 request.id,
                 endpoint_id,
-                to_caller.last_event,
+                caller_delivery.last_event,
             )
         attempt = attempts.Attempt(
-            relay=relay, to_caller=to_caller, place=place
+            relay=relay, caller_delivery=caller_delivery, chosen=chosen
         )
         result = await attempt.run()
-        tally = results.add(tally, result)
+        tally = results.tally_result(tally, result)
         if isinstance(result, results.Answered):
-            fallback = result
+            last_answer = result
         left_s = request.deadline - relay.now()
-        if not results.may_try_again(result, request.route, tally, left_s):
+        if not results.may_retry(result, request.route, tally, left_s):
             break
     if isinstance(result, results.CallerLeft):
-        _note_left(relay, request, endpoint_id)
+        _record_caller_left(relay, request, endpoint_id)
         return
-    await _conclude(relay, to_caller, result, fallback, tally, endpoint_id)
+    await _send_final_answer(
+        relay, caller_delivery, result, last_answer, tally, endpoint_id
+    )
 
 
-async def _await_place(
-    relay: core.Relay, request: requests.Request
-) -> placing.Place | None:
-    """Waits for an endpoint in the first seconds of the process."""
-    found = await relay.learn(
-        lambda: placing.place(relay, request, set()) is not None
+async def _wait_for_placement(
+    relay: relay_state.Relay, request: requests.Request
+) -> placement.Placement | None:
+    """Waits for an endpoint in the first seconds after the process start."""
+    is_available = await relay.wait_until_known(
+        lambda: placement.find_placement(relay, request, set()) is not None
+    )
+    return (
+        placement.find_placement(relay, request, set())
+        if is_available
+        else None
     )
-    return placing.place(relay, request, set()) if found else None
 
 
-def _may_arrive(
-    relay: core.Relay, request: requests.Request, tally: results.Tally
+def _may_attempt(
+    relay: relay_state.Relay, request: requests.Request, tally: results.Tally
 ) -> bool:
-    """Takes the retry budget for a sending after one that arrived."""
+    """Returns whether the retry budget permits another attempt.
+
+    Attempts that did not reach an endpoint take nothing from the budget.
+    """
     if not tally.arrivals:
         return True
     window = relay.retry_window(request.upstream)
-    return window.try_acquire(relay.now(), relay.entries)
+    return window.try_acquire(relay.now(), relay.entry_count)
 
 
-async def _conclude(
-    relay: core.Relay,
-    to_caller: delivery.Delivery,
+async def _send_final_answer(
+    relay: relay_state.Relay,
+    caller_delivery: delivery.Delivery,
     result: results.Result,
-    fallback: results.Answered | None,
+    last_answer: results.Answered | None,
     tally: results.Tally,
     endpoint_id: str,
 ) -> None:
-    request = to_caller.request
+    request = caller_delivery.request
     took_ms = round((relay.now() - request.came_at) * 1000)
     route = request.route.name
     if isinstance(result, results.Delivered):
-        first_ms = round((to_caller.first_at - request.came_at) * 1000)
-        _note_answer(relay, request, endpoint_id, 200, tally, took_ms, first_ms)
+        first_ms = round(
+            (caller_delivery.first_event_at - request.came_at) * 1000
+        )
+        _record_answer(
+            relay, request, endpoint_id, 200, tally, took_ms, first_ms
+        )
         return
-    if to_caller.started:
+    if caller_delivery.headers_sent:
         events.record(
             events.Event.BROKEN_OFF,
             request.id,
             route,
             endpoint_id,
-            _reason_of(result),
+            _result_reason(result),
             took_ms,
         )
         return
-    if fallback is not None:
-        _note_answer(
-            relay, request, endpoint_id, fallback.status, tally, took_ms
+    if last_answer is not None:
+        _record_answer(
+            relay, request, endpoint_id, last_answer.status, tally, took_ms
+        )
+        await caller_delivery.send_answer(
+            last_answer.status, last_answer.headers, last_answer.body
         )
-        await to_caller.whole(fallback.status, fallback.headers, fallback.body)
         return
     status = results.final_status(result, tally)
     if status == results.STATUS_UNAVAILABLE:
         await refuse(
             relay,
-            to_caller,
+            caller_delivery,
             status=status,
-            reason=_reason_of(result),
+            reason=_result_reason(result),
             retry_after_s=RETRY_AFTER_S,
         )
         return
@@ -126,64 +143,68 @@
         request.upstream,
         endpoint_id,
         status,
-        _reason_of(result),
+        _result_reason(result),
         tally.runs,
         took_ms,
     )
     relay.metrics.count("failed", f'status="{status}"')
-    await to_caller.own(*problem(status, _reason_of(result)))
+    await caller_delivery.send_local_answer(
+        *problem_answer(status, _result_reason(result))
+    )
 
 
 async def refuse(
-    relay: core.Relay,
-    to_caller: delivery.Delivery,
+    relay: relay_state.Relay,
+    caller_delivery: delivery.Delivery,
     *,
     status: int,
     reason: str,
     retry_after_s: float = 0.0,
 ) -> None:
-    """Answers a request that has not run and never will."""
-    request = to_caller.request
-    note_refusal(
+    """Refuses a request that has not run and will not be run."""
+    request = caller_delivery.request
+    record_refusal(
         relay,
         request.id,
         status,
         reason,
         route=request.route.name,
-        held_s=relay.now() - request.came_at,
+        elapsed_s=relay.now() - request.came_at,
+    )
+    await caller_delivery.send_local_answer(
+        *problem_answer(status, reason, retry_after_s)
     )
-    await to_caller.own(*problem(status, reason, retry_after_s))
 
 
-def note_refusal(
-    relay: core.Relay,
+def record_refusal(
+    relay: relay_state.Relay,
     request_id: str,
     status: int,
     reason: str,
     *,
     route: str = "",
-    held_s: float = 0.0,
+    elapsed_s: float = 0.0,
 ) -> None:
-    """Writes a refusal down."""
+    """Records a refusal in the log and the metrics."""
     events.record(
         events.Event.REFUSED,
         request_id,
         route,
         status,
         reason,
-        round(held_s * 1000),
+        round(elapsed_s * 1000),
         relay.routes_version,
     )
     relay.metrics.count("refused", f'status="{status}"')
 
 
-def problem(
+def problem_answer(
     status: int, reason: str, retry_after_s: float = 0.0
 ) -> tuple[int, replies.Headers, bytes]:
-    """Returns status, headers and body of an answer of our own."""
+    """Returns status, headers and body of an error answer by the entry."""
     body = json.dumps({"status": status, "detail": reason}).encode()
     headers = [
-        (b"content-type", PROBLEM_TYPE),
+        (b"content-type", PROBLEM_CONTENT_TYPE),
         (b"content-length", str(len(body)).encode()),
     ]
     if retry_after_s:
@@ -191,14 +212,14 @@
     return status, headers, body
 
 
-def _reason_of(result: results.Result) -> str:
+def _result_reason(result: results.Result) -> str:
     if isinstance(result, results.Answered):
         return f"status {result.status}"
     return getattr(result, "reason", "")
 
 
-def _note_left(
-    relay: core.Relay, request: requests.Request, endpoint_id: str
+def _record_caller_left(
+    relay: relay_state.Relay, request: requests.Request, endpoint_id: str
 ) -> None:
     took_ms = round((relay.now() - request.came_at) * 1000)
     relay.metrics.count("callers_left")
@@ -211,8 +232,8 @@
     )
 
 
-def _note_answer(
-    relay: core.Relay,
+def _record_answer(
+    relay: relay_state.Relay,
     request: requests.Request,
     endpoint_id: str,
     status: int,
@@ -226,7 +247,7 @@
     relay.metrics.record(
         "answer", f'route="{request.route.name}"', took_ms / 1000
     )
-    failed = status >= results.FAILURE_STATUS
+    failed = status >= results.MIN_FAILURE_STATUS
     fields = [request.id, request.route.name, request.upstream, endpoint_id]
     if failed:
         reason = "the upstream's own answer"
--- a/src/_arbutuswalk/routing/choose.py
+++ b/src/_arbutuswalk/routing/choose.py
@@ -1,8 +1,8 @@
-"""Choosing one upstream: expected wait, uncached prefill, price.
+"""Chooses an upstream by expected queueing, uncached prefill and price.
 
-All terms are in seconds, so that they can be added. Equal scores are broken
-by rendezvous hashing on the prefix, so that entries which know nothing of each
-other's choices still agree.
+All cost terms are in seconds, so that they can be added. Ties are broken by
+rendezvous hashing on the prompt prefix, so that entries choose the same
+upstream without exchanging their choices.
 """
 
 import hashlib
@@ -12,36 +12,38 @@
 from _arbutuswalk.routing import prefixes
 from _arbutuswalk.routing import upstreams
 
-BOUND = 1.7
-"""Load over the mean at which affinity stops to attract."""
+LOAD_BOUND_FACTOR = 1.7
+"""Ratio of an upstream's load to the mean above which load outweighs cache
+affinity, as in consistent hashing with bounded loads."""
 
 
 class Weights(NamedTuple):
-    """What a choice is weighed by.
+    """Weights of the cost terms.
 
     Attributes:
-        prefill_tokens_per_s: Speed at which an engine reads a prompt.
-        service_s: Seconds a request holds a slot.
-        crowd_s: Seconds a full batch adds to a request.
-        price_s: Seconds worth paying the price of the cheapest once more.
+        prefill_tokens_per_s: Prefill throughput of an engine.
+        service_s: Seconds for which a request holds a slot.
+        full_batch_delay_s: Seconds that a full batch adds to a request.
+        price_penalty_s: Seconds of latency considered equal to a price one
+            time the cheapest higher.
     """
 
     prefill_tokens_per_s: float = 6000.0
     service_s: float = 2.0
-    crowd_s: float = 0.15
-    price_s: float = 0.02
+    full_batch_delay_s: float = 0.15
+    price_penalty_s: float = 0.02
 
 
 DEFAULT_WEIGHTS = Weights()
 
 
 class Features(NamedTuple):
-    """What is known of a request before it is sent.
+    """Properties of a request that are known before it is sent.
 
     Attributes:
-        prompt_tokens: Estimated length of the prompt.
-        blocks: Hashes of its prefix.
-        affinity: What rendezvous hashing goes by.
+        prompt_tokens: Estimated prompt length in tokens.
+        blocks: Block hashes of the prompt prefix.
+        affinity: Key for rendezvous hashing.
     """
 
     prompt_tokens: int
@@ -64,56 +66,77 @@
     weights: Weights = DEFAULT_WEIGHTS,
     avoid: frozenset[str] = frozenset(),
 ) -> upstreams.Row | None:
-    """Returns the best upstream with a free slot, or None.
+    """Returns the cheapest upstream with a free slot, or None.
 
     Args:
-        rows: Upstreams that may get work.
-        features: The request.
-        weights: How terms are weighed.
-        avoid: Keys of upstreams to use only if there is no other.
+        rows: Upstreams eligible for new requests.
+        features: Features of the request.
+        weights: Weights of the cost terms.
+        avoid: Keys of upstreams to use only if no other has a free slot.
     """
-    free = [row for row in rows if row.load < row.said["slots"]]
-    preferred = [row for row in free if row.key not in avoid]
-    candidates = preferred or free
+    with_free_slot = [
+        row for row in rows if row.load < row.announcement["slots"]
+    ]
+    preferred = [row for row in with_free_slot if row.key not in avoid]
+    candidates = preferred or with_free_slot
     if not candidates:
         return None
     if len(candidates) == 1:
         return candidates[0]
-    mean = sum(row.load for row in candidates) / len(candidates)
-    cheapest = min((row.price for row in candidates if row.price), default=0)
-
-    def rank(row: upstreams.Row) -> tuple[float, bytes]:
-        total = (
-            _crowding(row, mean, weights)
-            + _prefill(row, features, weights)
-            + _price(row, cheapest, weights)
+    mean_load = sum(row.load for row in candidates) / len(candidates)
+    lowest_price = min(
+        (
+            row.price_micro_per_hour
+            for row in candidates
+            if row.price_micro_per_hour
+        ),
+        default=0,
+    )
+
+    def cost(row: upstreams.Row) -> tuple[float, bytes]:
+        cost_s = (
+            _batch_delay_s(row, mean_load, weights)
+            + _prefill_s(row, features, weights)
+            + _price_penalty_s(row, lowest_price, weights)
         )
-        return round(total, 3), _rendezvous(features.affinity, row)
-
-    return min(candidates, key=rank)
-
-
-def _crowding(row: upstreams.Row, mean: float, weights: Weights) -> float:
-    """Seconds lost to others in the batch, flat while below the bound."""
-    slots = max(1, row.said["slots"])
-    over = row.load + 1 - BOUND * (mean + 1)
-    if over <= 0:
-        return weights.crowd_s * mean / slots
-    return weights.crowd_s * (mean + over * 4) / slots
-
-
-def _prefill(row: upstreams.Row, features: Features, weights: Weights) -> float:
-    held = row.index.match(features.blocks) * prefixes.BLOCK_TOKENS
-    uncached = max(0.0, features.prompt_tokens - held * row.index.trust)
-    return uncached / weights.prefill_tokens_per_s
-
-
-def _price(row: upstreams.Row, cheapest: int, weights: Weights) -> float:
-    if not cheapest or not row.price:
+        return round(cost_s, 3), _rendezvous_hash(features.affinity, row)
+
+    return min(candidates, key=cost)
+
+
+def _batch_delay_s(
+    row: upstreams.Row, mean_load: float, weights: Weights
+) -> float:
+    """Returns the delay by the batch in seconds, constant up to the bound."""
+    slots = max(1, row.announcement["slots"])
+    excess_load = row.load + 1 - LOAD_BOUND_FACTOR * (mean_load + 1)
+    if excess_load <= 0:
+        return weights.full_batch_delay_s * mean_load / slots
+    return weights.full_batch_delay_s * (mean_load + excess_load * 4) / slots
+
+
+def _prefill_s(
+    row: upstreams.Row, features: Features, weights: Weights
+) -> float:
+    cached_tokens = (
+        row.prefix_index.match(features.blocks) * prefixes.BLOCK_TOKENS
+    )
+    uncached_tokens = max(
+        0.0, features.prompt_tokens - cached_tokens * row.prefix_index.trust
+    )
+    return uncached_tokens / weights.prefill_tokens_per_s
+
+
+def _price_penalty_s(
+    row: upstreams.Row, lowest_price: int, weights: Weights
+) -> float:
+    if not lowest_price or not row.price_micro_per_hour:
         return 0.0
-    return weights.price_s * (row.price / cheapest - 1)
+    return weights.price_penalty_s * (
+        row.price_micro_per_hour / lowest_price - 1
+    )
 
 
-def _rendezvous(affinity: str, row: upstreams.Row) -> bytes:
-    text = f"{affinity}|{row.said['id']}"
+def _rendezvous_hash(affinity: str, row: upstreams.Row) -> bytes:
+    text = f"{affinity}|{row.announcement['id']}"
     return hashlib.blake2b(text.encode(), digest_size=8).digest()
--- a/src/_arbutuswalk/routing/directory.py
+++ b/src/_arbutuswalk/routing/directory.py
@@ -1,9 +1,9 @@
-"""The directory of endpoints that announced themselves.
+"""Directory of announced endpoints.
 
-An endpoint is one running process of an upstream. Control and entries keep a
-directory each and merge announcements in any order: of one endpoint the newest
-start wins, and within a start the highest sequence. Leaving is final for a
-start, so that a late announcement cannot bring an endpoint back.
+An endpoint is one running process of an upstream. Control processes and entries
+each keep a directory and merge announcements in any order: for one endpoint the
+newest start wins, and within a start the highest sequence. Leaving is final
+within a start, so that a late announcement cannot make an endpoint ready again.
 """
 
 from typing import Any
@@ -15,20 +15,20 @@
 
 
 class Endpoint(NamedTuple):
-    """What an endpoint last said of itself.
+    """Newest announcement of an endpoint.
 
     Attributes:
-        id: Its id, which a later start may bear again.
-        born_ms: When this start began, in Unix milliseconds.
+        id: Endpoint id, which a later start may reuse.
+        born_ms: Time of this start, in Unix milliseconds.
         sequence: Number of the announcement within the start.
         upstream: Name of the upstream it serves.
         address: ``IP:port``.
         domain: Failure domain.
-        version: Version of its software.
-        slots: Requests it runs at once.
+        version: Software version.
+        slots: Maximum number of concurrent requests.
         state: ``ready``, ``leaving`` or ``gone``.
-        reclaimable: Whether the platform may take it away.
-        cold_s: Seconds for which it is still slow after its start.
+        reclaimable: Whether the platform may reclaim it at short notice.
+        cold_s: Remaining warm-up time in seconds.
     """
 
     id: str
@@ -45,92 +45,103 @@
 
 
 class Row(NamedTuple):
-    """An endpoint and when it was last heard.
+    """An endpoint and when it last announced itself.
 
     Attributes:
-        endpoint: What it said.
-        heard_at: Holder's time of the newest announcement, in seconds.
-        revision: Holder's revision at which it was last heard.
-        news_revision: Revision at which more than its sequence changed.
+        endpoint: The newest announcement.
+        announced_at: Local time of the newest announcement, in seconds.
+        revision: Directory revision of the newest announcement.
+        change_revision: Directory revision of the newest change other than of
+            the sequence or the remaining warm-up time.
     """
 
     endpoint: Endpoint
-    heard_at: float
+    announced_at: float
     revision: int
-    news_revision: int
+    change_revision: int
 
 
 class Directory:
-    """Rows of all endpoints known to one process.
+    """Endpoints known to one process.
 
     Attributes:
         rows: Row by endpoint id.
-        holders: Id of the endpoint at each address.
-        revision: Counts the changes.
+        ids_by_address: Endpoint id by address.
+        revision: Number of updates so far.
     """
 
     def __init__(self):
         self.rows: dict[str, Row] = {}
-        self.holders: dict[str, str] = {}
+        self.ids_by_address: dict[str, str] = {}
         self.revision = 0
 
 
-def announce(directory: Directory, said: Endpoint, now: float) -> bool:
-    """Takes one announcement.
+def announce(directory: Directory, announcement: Endpoint, now: float) -> bool:
+    """Merges one announcement.
 
     Returns:
-        Whether it changed what requests may be sent where. A higher sequence
-        alone only shows that the endpoint lives.
+        Whether it changed anything relevant to routing. A higher sequence
+        alone only shows that the endpoint is alive.
     """
-    known = directory.rows.get(said.id)
-    merged = said if known is None else _merge(known.endpoint, said)
+    existing = directory.rows.get(announcement.id)
+    merged = (
+        announcement
+        if existing is None
+        else _merge_announcements(existing.endpoint, announcement)
+    )
     if merged is None:
         return False
-    holder = directory.rows.get(directory.holders.get(merged.address, ""))
-    if holder is not None and holder.endpoint.id != merged.id:
-        if holder.endpoint.born_ms > merged.born_ms:
+    address_owner = directory.rows.get(
+        directory.ids_by_address.get(merged.address, "")
+    )
+    if address_owner is not None and address_owner.endpoint.id != merged.id:
+        if address_owner.endpoint.born_ms > merged.born_ms:
             return False
-        _put(directory, holder.endpoint._replace(state=GONE), holder.heard_at)
-    _put(directory, merged, now)
-    directory.holders[merged.address] = merged.id
-    return known is None or _differs(known.endpoint, merged)
+        _put_row(
+            directory,
+            address_owner.endpoint._replace(state=GONE),
+            address_owner.announced_at,
+        )
+    _put_row(directory, merged, now)
+    directory.ids_by_address[merged.address] = merged.id
+    return existing is None or _is_relevant_change(existing.endpoint, merged)
 
 
-def leave(
+def deregister(
     directory: Directory, endpoint_id: str, born_ms: int | None, now: float
 ) -> bool:
-    """Notes that an endpoint deregistered; returns whether that is news."""
-    known = directory.rows.get(endpoint_id)
-    if known is None:
+    """Marks an endpoint as gone; returns whether that changed its state."""
+    existing = directory.rows.get(endpoint_id)
+    if existing is None:
         return False
-    if born_ms is not None and born_ms < known.endpoint.born_ms:
+    if born_ms is not None and born_ms < existing.endpoint.born_ms:
         return False
-    if known.endpoint.state == GONE:
+    if existing.endpoint.state == GONE:
         return False
-    _put(directory, known.endpoint._replace(state=GONE), now)
+    _put_row(directory, existing.endpoint._replace(state=GONE), now)
     return True
 
 
 def expire(directory: Directory, now: float, silent_s: float) -> list[str]:
-    """Drops rows that were not heard for ``silent_s``; returns their ids."""
-    old = [
-        name
-        for name, row in directory.rows.items()
-        if now - row.heard_at > silent_s
+    """Removes rows not updated for ``silent_s`` seconds; returns their ids."""
+    expired_ids = [
+        endpoint_id
+        for endpoint_id, row in directory.rows.items()
+        if now - row.announced_at > silent_s
     ]
-    for name in old:
-        forget(directory, name)
-    return old
+    for endpoint_id in expired_ids:
+        remove(directory, endpoint_id)
+    return expired_ids
 
 
-def forget(directory: Directory, name: str) -> None:
-    """Drops one row."""
-    row = directory.rows.pop(name)
-    if directory.holders.get(row.endpoint.address) == name:
-        del directory.holders[row.endpoint.address]
+def remove(directory: Directory, endpoint_id: str) -> None:
+    """Removes the row of one endpoint id."""
+    row = directory.rows.pop(endpoint_id)
+    if directory.ids_by_address.get(row.endpoint.address) == endpoint_id:
+        del directory.ids_by_address[row.endpoint.address]
 
 
-def since(directory: Directory, revision: int) -> list[Endpoint]:
+def updated_since(directory: Directory, revision: int) -> list[Endpoint]:
     """Returns the endpoints whose rows changed after ``revision``."""
     return [
         row.endpoint
@@ -139,39 +150,47 @@
     ]
 
 
-def has_news_since(directory: Directory, revision: int) -> bool:
-    """Tells whether more than sequences changed after ``revision``."""
-    return any(row.news_revision > revision for row in directory.rows.values())
+def has_changes_since(directory: Directory, revision: int) -> bool:
+    """Returns whether anything but sequences changed after ``revision``."""
+    return any(
+        row.change_revision > revision for row in directory.rows.values()
+    )
 
 
 def from_json(fields: list[Any]) -> Endpoint:
-    """Parses an endpoint that went through JSON as a list."""
+    """Returns the endpoint whose fields were decoded from a JSON list."""
     return Endpoint(*fields)
 
 
-def _merge(known: Endpoint, said: Endpoint) -> Endpoint | None:
-    """Returns the newer of two announcements, None if nothing is new."""
-    if said.born_ms != known.born_ms:
-        return said if said.born_ms > known.born_ms else None
-    state = max(known.state, said.state, key=(READY, LEAVING, GONE).index)
-    if said.sequence > known.sequence:
-        return said._replace(state=state)
-    if state != known.state:
-        return known._replace(state=state)
+def _merge_announcements(
+    existing: Endpoint, announcement: Endpoint
+) -> Endpoint | None:
+    """Merges two announcements; returns None if nothing changes."""
+    if announcement.born_ms != existing.born_ms:
+        return announcement if announcement.born_ms > existing.born_ms else None
+    state = max(
+        existing.state, announcement.state, key=(READY, LEAVING, GONE).index
+    )
+    if announcement.sequence > existing.sequence:
+        return announcement._replace(state=state)
+    if state != existing.state:
+        return existing._replace(state=state)
     return None
 
 
-def _differs(before: Endpoint, after: Endpoint) -> bool:
+def _is_relevant_change(before: Endpoint, after: Endpoint) -> bool:
     return before._replace(sequence=0, cold_s=0.0) != after._replace(
         sequence=0, cold_s=0.0
     )
 
 
-def _put(directory: Directory, endpoint: Endpoint, now: float) -> None:
+def _put_row(directory: Directory, endpoint: Endpoint, now: float) -> None:
     directory.revision += 1
     revision = directory.revision
-    known = directory.rows.get(endpoint.id)
-    news = known is None or _differs(known.endpoint, endpoint)
-    news_revision = revision if news else known.news_revision
-    row = Row(endpoint, now, revision, news_revision)
+    existing = directory.rows.get(endpoint.id)
+    changed = existing is None or _is_relevant_change(
+        existing.endpoint, endpoint
+    )
+    change_revision = revision if changed else existing.change_revision
+    row = Row(endpoint, now, revision, change_revision)
     directory.rows[endpoint.id] = row
--- a/src/_arbutuswalk/routing/routetable.py
+++ b/src/_arbutuswalk/routing/routetable.py
@@ -1,4 +1,4 @@
-"""Looking routes, keys and upstreams up in a configuration of routes."""
+"""Lookup of routes, keys and upstreams in a route configuration."""
 
 import random
 
@@ -6,38 +6,40 @@
 
 
 class RouteTable:
-    """A configuration of routes, indexed.
+    """An indexed route configuration.
 
     Attributes:
         config: The configuration.
-        routes: Route by host and prefix.
-        holders: Workspace by key.
+        routes_by_prefix: Route by host and path prefix.
+        workspaces_by_key: Workspace by API key.
     """
 
     def __init__(self, *, config: routeconfig.RouteConfig):
         self.config = config
-        self.routes = {
+        self.routes_by_prefix = {
             (route.host, route.prefix): route for route in config.routes
         }
-        self.holders = {
+        self.workspaces_by_key = {
             key: workspace
             for workspace in config.workspaces
             for key in workspace.keys
         }
 
 
-def find(table: RouteTable, host: str, path: str) -> routeconfig.Route | None:
-    """Returns the host's route with the longest prefix of ``path``."""
-    end = len(path)
-    while (end := path.rfind("/", 0, end)) >= 0:
-        route = table.routes.get((host, path[: end + 1]))
+def find_route(
+    table: RouteTable, host: str, path: str
+) -> routeconfig.Route | None:
+    """Returns the host's route with the longest matching path prefix."""
+    prefix_end = len(path)
+    while (prefix_end := path.rfind("/", 0, prefix_end)) >= 0:
+        route = table.routes_by_prefix.get((host, path[: prefix_end + 1]))
         if route is not None:
             return route
     return None
 
 
 def pick_target(route: routeconfig.Route, rng: random.Random) -> str:
-    """Draws the upstream of a request by the route's weights."""
+    """Returns a random upstream, drawn by the weights of the route."""
     if len(route.targets) == 1:
         return route.targets[0].upstream
     weights = [target.weight for target in route.targets]
--- /dev/null
+++ b/src/_arbutuswalk/routing/selection.py
@@ -0,0 +1,172 @@
+"""Chooses an endpoint of an upstream for a request.
+
+Designed for moderate to heavy load from many entries that learn of each other's
+load with a lag. A model request goes to the endpoint expected to finish its
+prefill first, given the tokens queued there and the prompt parts cached there.
+Requests that share parts rank the endpoints in the same order, by rendezvous
+hashing, so that entries which do not communicate send them to the same endpoint
+until it is overloaded. Other requests go to the endpoint with the least load.
+"""
+
+import hashlib
+from collections.abc import Collection
+from collections.abc import Sequence
+from typing import NamedTuple
+
+RANKED_CANDIDATES = 3
+"""Highest-ranked endpoints considered for a model request: enough to avoid an
+overloaded one, few enough that shared parts occupy few caches."""
+RANDOM_CANDIDATES = 2
+"""Further endpoints considered, sampled at random, so that entries which see
+the same idle endpoint do not all choose it at once."""
+RUNNING_REQUEST_DELAY_TOKENS = 150
+"""Delay of the first event by one more running request, as the number of prompt
+tokens read in that time: each batch step takes about a fiftieth longer."""
+REMOTE_DOMAIN_LOAD_REQUESTS = 0.5
+"""Extra load assumed for an endpoint in another failure domain."""
+
+
+class Candidate(NamedTuple):
+    """An endpoint eligible for a request.
+
+    Attributes:
+        id: Endpoint id.
+        running: Estimated number of running and queued requests.
+        waiting_tokens: Prompt tokens that it has not read yet.
+        slots: Maximum number of concurrent requests.
+        near: Whether it is in the entry's own failure domain.
+        doubtful: Whether it failed recently and is to be used only as a last
+            resort.
+    """
+
+    id: str
+    running: int
+    waiting_tokens: int
+    slots: int
+    near: bool
+    doubtful: bool
+
+
+class PromptProfile(NamedTuple):
+    """Size and shared parts of a model request's prompt.
+
+    Attributes:
+        tokens: Number of prompt tokens.
+        parts: Ids and token counts of the parts shared with other requests,
+            the most widely shared ones first.
+    """
+
+    tokens: int
+    parts: tuple[tuple[str, int], ...]
+
+
+class Choice(NamedTuple):
+    """The chosen endpoint and the prompt tokens probably not cached there."""
+
+    id: str
+    tokens: int
+
+
+def choose(
+    candidates: Sequence[Candidate],
+    prompt_profile: PromptProfile | None,
+    recent_holders: Collection[str],
+    draws: tuple[float, float],
+) -> Choice | None:
+    """Returns the endpoint to send to, or None without candidates.
+
+    Args:
+        candidates: Endpoints eligible for the request.
+        prompt_profile: Prompt of a model request, None for other requests.
+        recent_holders: Endpoints that recently received the last shared part.
+        draws: Random numbers in [0, 1).
+    """
+    healthy = [candidate for candidate in candidates if not candidate.doubtful]
+    usable = healthy or list(candidates)
+    if not usable:
+        return None
+    if prompt_profile is None:
+        return Choice(_least_loaded(usable, draws[0]).id, 0)
+    return _shortest_delay(usable, prompt_profile, recent_holders, draws)
+
+
+def _least_loaded(usable: list[Candidate], draw: float) -> Candidate:
+    def load_per_slot(candidate: Candidate) -> float:
+        remote_load = 0.0 if candidate.near else REMOTE_DOMAIN_LOAD_REQUESTS
+        return (candidate.running + remote_load) / max(1, candidate.slots)
+
+    lowest_load = min(map(load_per_slot, usable))
+    least_loaded = [
+        candidate
+        for candidate in usable
+        if load_per_slot(candidate) <= lowest_load + 1e-9
+    ]
+    return least_loaded[int(draw * len(least_loaded))]
+
+
+def _shortest_delay(
+    usable: list[Candidate],
+    prompt_profile: PromptProfile,
+    recent_holders: Collection[str],
+    draws: tuple[float, float],
+) -> Choice:
+    affinity_key = prompt_profile.parts[-1][0] if prompt_profile.parts else ""
+    ranked = sorted(
+        usable,
+        key=lambda candidate: _rendezvous_hash(affinity_key, candidate.id),
+    )
+    if not affinity_key:
+        ranked = usable
+    lower_ranked = ranked[RANKED_CANDIDATES:]
+    sampled = {
+        int(draw * len(lower_ranked))
+        for draw in draws[:RANDOM_CANDIDATES]
+        if lower_ranked
+    }
+    considered = [
+        *ranked[:RANKED_CANDIDATES],
+        *(lower_ranked[sampled_index] for sampled_index in sampled),
+    ]
+    ranked_choices = [
+        (_delay_tokens(candidate, tokens), rank, Choice(candidate.id, tokens))
+        for rank, candidate in enumerate(considered)
+        for tokens in [
+            _uncached_tokens(
+                prompt_profile, rank, candidate.id in recent_holders
+            )
+        ]
+    ]
+    return min(ranked_choices)[2]
+
+
+def _delay_tokens(candidate: Candidate, tokens: int) -> int:
+    """Returns the expected time to read the prompt, in prompt tokens."""
+    queued_tokens = (
+        max(0, candidate.running - candidate.slots)
+        * RUNNING_REQUEST_DELAY_TOKENS
+        * 4
+    )
+    running_tokens = candidate.running * RUNNING_REQUEST_DELAY_TOKENS
+    return candidate.waiting_tokens + tokens + running_tokens + queued_tokens
+
+
+def _uncached_tokens(
+    prompt_profile: PromptProfile, rank: int, recently_sent: bool
+) -> int:
+    """Returns the number of prompt tokens that are probably not cached.
+
+    The last shared part is assumed to be cached at the highest-ranked endpoint
+    and at those that recently received it; more widely shared parts are assumed
+    to be cached at every endpoint.
+    """
+    parts = (
+        prompt_profile.parts
+        if rank == 0 or recently_sent
+        else prompt_profile.parts[:-1]
+    )
+    return max(0, prompt_profile.tokens - sum(tokens for _, tokens in parts))
+
+
+def _rendezvous_hash(affinity_key: str, endpoint: str) -> bytes:
+    hash_input = f"{affinity_key}|{endpoint}".encode()
+    return hashlib.blake2b(hash_input, digest_size=8).digest()
--- a/src/_arbutuswalk/routing/upstreams.py
+++ b/src/_arbutuswalk/routing/upstreams.py
@@ -1,4 +1,4 @@
-"""The table of upstreams an entry knows, and the systems that age it."""
+"""Table of the upstreams known to an entry."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 
 class Health(enum.Enum):
-    """Whether an upstream may get new work."""
+    """Whether an upstream is eligible for new requests."""
 
     USABLE = "usable"
     SUSPECT = "suspect"
@@ -20,72 +20,81 @@
 
 
 class Row:
-    """One upstream as this entry sees it.
+    """One upstream as seen by this entry.
 
     Attributes:
-        said: Its newest announcement.
-        heard_at: When that was made, in this entry's seconds.
+        announcement: Newest announcement.
+        announced_at: When it was made, in seconds of this entry's clock.
         failed_at: When a connection to it last failed, or minus infinity.
-        leaves_at: When it goes away, if it is leaving.
-        sent: Attempts sent since the load report it carries.
-        ended: Attempts ended since that report.
-        active: Ids of this entry's attempts that run there now.
-        broken: Fingerprints of attempts that broke off there, while it is
-            not known whether the upstream died.
-        spared: When a broken attempt's upstream was found alive, in seconds,
-            by fingerprint.
-        isolated: Fingerprint it is reserved for, or empty.
-        index: Prefixes its cache probably holds.
-        price: Micro-units an hour, zero if unknown.
+        leaves_at: When it shuts down, infinity unless it is leaving.
+        sent_since_report: Attempts sent since the newest announcement.
+        ended_since_report: Attempts ended since the newest announcement.
+        active_attempts: Ids of this entry's attempts running there.
+        unconfirmed_crashes: Fingerprints of attempts whose connection was
+            lost, while it is not known whether the upstream died.
+        survived_at: When the upstream of an attempt with a lost connection was
+            found alive, in seconds, by fingerprint.
+        isolated: Fingerprint of the request it is reserved for, or empty.
+        prefix_index: Prefixes that are probably cached there.
+        price_micro_per_hour: Price in micro-units, zero if unknown.
     """
 
-    def __init__(self, *, said: announcements.Announcement, heard_at: float):
-        self.said = said
-        self.heard_at = heard_at
+    def __init__(
+        self, *, announcement: announcements.Announcement, announced_at: float
+    ):
+        self.announcement = announcement
+        self.announced_at = announced_at
         self.failed_at = float("-inf")
         self.leaves_at = float("inf")
-        self.sent = 0
-        self.ended = 0
-        self.active: dict[str, None] = {}
-        self.broken: set[str] = set()
-        self.spared: dict[str, float] = {}
+        self.sent_since_report = 0
+        self.ended_since_report = 0
+        self.active_attempts: dict[str, None] = {}
+        self.unconfirmed_crashes: set[str] = set()
+        self.survived_at: dict[str, float] = {}
         self.isolated = ""
-        self.index = prefixes.PrefixIndex(capacity_tokens=said["cache_tokens"])
-        self.price = 0
+        self.prefix_index = prefixes.PrefixIndex(
+            capacity_tokens=announcement["cache_tokens"]
+        )
+        self.price_micro_per_hour = 0
 
     @property
     def name(self) -> str:
-        """Name of the upstream in the inventory."""
-        return self.said["upstream"]
+        """Upstream name in the inventory."""
+        return self.announcement["upstream"]
 
     @property
     def key(self) -> str:
         """Identity and incarnation."""
-        return f"{self.said['id']}/{self.said['incarnation']}"
+        return f"{self.announcement['id']}/{self.announcement['incarnation']}"
 
     @property
     def load(self) -> int:
-        """Requests it runs: its report and what was sent since."""
-        reported = self.said["running"] + self.sent - self.ended
-        return max(reported, len(self.active))
+        """Estimated running requests: the announced ones and later changes."""
+        reported = (
+            self.announcement["running"]
+            + self.sent_since_report
+            - self.ended_since_report
+        )
+        return max(reported, len(self.active_attempts))
 
     def health(self, now: float) -> Health:
-        """Returns whether it may get new work at ``now``."""
-        if self.said["leaving"] or self.leaves_at < float("inf"):
+        """Returns whether it is eligible for new requests at ``now``."""
+        if self.announcement["leaving"] or self.leaves_at < float("inf"):
             return Health.LEAVING
-        if now - self.heard_at > SUSPECT_AFTER_S:
+        if now - self.announced_at > SUSPECT_AFTER_S:
             return Health.SUSPECT
-        if self.failed_at >= self.heard_at:
+        if self.failed_at >= self.announced_at:
             return Health.SUSPECT
         return Health.USABLE
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Joined:
-    """A new upstream or a new incarnation of one.
+    """A new upstream, or a new incarnation of a known one.
 
     Attributes:
-        replaced: The row of the older incarnation, if any.
+        row: Its new row.
+        replaced: Row of the previous incarnation, if any.
     """
 
     row: Row
@@ -94,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Renewed:
-    """A known upstream was heard again."""
+    """An announcement of a known incarnation."""
 
     row: Row
     now_leaving: bool
@@ -102,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The announcement contradicts what is known."""
+    """An announcement that contradicts an earlier one."""
 
     reason: str
 
@@ -115,30 +124,30 @@
 
 
 class Table:
-    """Upstreams by identity.
+    """Upstreams known to an entry.
 
     Attributes:
         rows: Row by identity.
-        by_name: Identities by inventory name.
+        by_name: Rows by identity, by inventory name.
     """
 
     def __init__(self):
         self.rows: dict[str, Row] = {}
         self.by_name: dict[str, dict[str, Row]] = {}
 
-    def named(self, name: str) -> list[Row]:
-        """Returns the rows of one upstream name."""
+    def rows_for(self, name: str) -> list[Row]:
+        """Returns the rows of an inventory name."""
         return list(self.by_name.get(name, {}).values())
 
     def put(self, row: Row) -> None:
-        """Adds or replaces a row."""
-        identity = row.said["id"]
+        """Adds a row, replacing one of the same identity."""
+        identity = row.announcement["id"]
         self.remove(identity)
         self.rows[identity] = row
         self.by_name.setdefault(row.name, {})[identity] = row
 
     def remove(self, identity: str) -> Row | None:
-        """Removes and returns a row."""
+        """Removes and returns the row of an identity, None if unknown."""
         row = self.rows.pop(identity, None)
         if row is not None:
             self.by_name[row.name].pop(identity, None)
@@ -146,43 +155,53 @@
 
 
 def announce(
-    table: Table, said: announcements.Announcement, *, heard_at: float
+    table: Table,
+    announcement: announcements.Announcement,
+    *,
+    announced_at: float,
 ) -> Joined | Renewed | Refused:
-    """Takes an announcement, made at ``heard_at`` by this entry's clock."""
-    row = table.rows.get(said["id"])
-    if row is None or row.said["incarnation"] < said["incarnation"]:
-        fresh = Row(said=said, heard_at=heard_at)
-        _note_leaving(fresh, said, heard_at)
-        table.put(fresh)
-        return Joined(row=fresh, replaced=row)
-    if row.said["incarnation"] > said["incarnation"]:
+    """Applies an announcement; its time is by this entry's clock."""
+    row = table.rows.get(announcement["id"])
+    if (
+        row is None
+        or row.announcement["incarnation"] < announcement["incarnation"]
+    ):
+        new_row = Row(announcement=announcement, announced_at=announced_at)
+        _record_leaving(new_row, announcement, announced_at)
+        table.put(new_row)
+        return Joined(row=new_row, replaced=row)
+    if row.announcement["incarnation"] > announcement["incarnation"]:
         return Refused(reason="an incarnation that has been replaced")
-    if row.said["address"] != said["address"]:
+    if row.announcement["address"] != announcement["address"]:
         return Refused(reason="the identity of an upstream elsewhere")
-    if row.said["upstream"] != said["upstream"]:
+    if row.announcement["upstream"] != announcement["upstream"]:
         return Refused(reason="another upstream name in one incarnation")
-    if row.said["sequence"] >= said["sequence"]:
+    if row.announcement["sequence"] >= announcement["sequence"]:
         return Renewed(row=row, now_leaving=False)
-    was_leaving = row.health(heard_at) is Health.LEAVING
-    row.said = said
-    row.heard_at = max(row.heard_at, heard_at)
-    row.sent = row.ended = 0
-    _note_leaving(row, said, heard_at)
-    return Renewed(row=row, now_leaving=said["leaving"] and not was_leaving)
-
-
-def _note_leaving(
-    row: Row, said: announcements.Announcement, heard_at: float
+    was_leaving = row.health(announced_at) is Health.LEAVING
+    row.announcement = announcement
+    row.announced_at = max(row.announced_at, announced_at)
+    row.sent_since_report = row.ended_since_report = 0
+    _record_leaving(row, announcement, announced_at)
+    return Renewed(
+        row=row, now_leaving=announcement["leaving"] and not was_leaving
+    )
+
+
+def _record_leaving(
+    row: Row, announcement: announcements.Announcement, announced_at: float
 ) -> None:
-    if said["leaving"]:
-        row.leaves_at = min(row.leaves_at, heard_at + said["leave_in_s"])
+    if announcement["leaving"]:
+        row.leaves_at = min(
+            row.leaves_at, announced_at + announcement["leave_in_s"]
+        )
 
 
 def expire(table: Table, now: float) -> list[Gone]:
-    """Removes upstreams that were not heard for too long."""
+    """Removes upstreams without a recent announcement."""
     gone = []
     for identity, row in list(table.rows.items()):
-        if now - row.heard_at > GONE_AFTER_S:
+        if now - row.announced_at > GONE_AFTER_S:
             table.remove(identity)
             gone.append(Gone(row, "no announcement"))
     return gone
@@ -195,12 +214,12 @@
 
     Args:
         table: The table.
-        instances: Seconds of notice by instance.
-        now: When the notice was heard.
+        instances: Seconds until shutdown, by instance.
+        now: When the notice was received.
     """
     marked = []
     for row in table.rows.values():
-        notice_s = instances.get(row.said["instance"])
+        notice_s = instances.get(row.announcement["instance"])
         if notice_s is None or row.health(now) is Health.LEAVING:
             continue
         row.leaves_at = now + notice_s
@@ -209,18 +228,21 @@
 
 
 def usable(table: Table, name: str, now: float) -> list[Row]:
-    """Returns the upstreams of a name that may get new work."""
+    """Returns the upstreams of a name that are eligible for new requests."""
     return [
         row
-        for row in table.named(name)
+        for row in table.rows_for(name)
         if row.health(now) is Health.USABLE and not row.isolated
     ]
 
 
 def only_reserved(table: Table, name: str, now: float) -> bool:
-    """Tells whether all that are up are reserved for suspects, for a moment.
+    """Returns whether all usable upstreams are reserved for suspects.
 
-    A reservation ends once its suspect has completed or is convicted.
+    This is temporary: a reservation ends once its suspect request has completed
+    or has been confirmed to crash upstreams.
     """
-    up = [row for row in table.named(name) if row.health(now) is Health.USABLE]
-    return bool(up) and all(row.isolated for row in up)
+    usable_rows = [
+        row for row in table.rows_for(name) if row.health(now) is Health.USABLE
+    ]
+    return bool(usable_rows) and all(row.isolated for row in usable_rows)
--- a/testing/relays.py
+++ b/testing/relay_fixtures.py
@@ -1,4 +1,4 @@
-"""A relay with scripted endpoints on loopback, and a caller that records."""
+"""Fixtures: a relay, scripted endpoints on loopback and a recording caller."""
 
 import asyncio
 import json
@@ -8,14 +8,14 @@
 from arbutuswalk_platform import headers
 
 from _arbutuswalk.limits import quota
-from _arbutuswalk.relay import core
+from _arbutuswalk.relay import control_watch
 from _arbutuswalk.relay import delivery
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.relay import request as requests
-from _arbutuswalk.relay import watching
 from _arbutuswalk.routing import directory
 from _arbutuswalk.state import routeconfig
 
-OPTIONS = core.Options(
+OPTIONS = relay_state.Options(
     retry_ratio=0.2,
     retry_extra=400.0,
     retry_window_s=10.0,
@@ -64,21 +64,21 @@
 
 
 def make_relay(config=None, **changes):
-    relay = core.Relay(
+    relay = relay_state.Relay(
         name="entry-1",
         domain="d1",
         dialect=headers.DIALECT,
         options=OPTIONS._replace(**changes),
     )
-    relay.entries = 1
+    relay.entry_count = 1
     config = config or make_config()
     values = json.loads(json.dumps(routeconfig.to_json(config)))
-    watching.take_routes(relay, values, "test")
+    control_watch.apply_routes(relay, values, "test")
     return relay
 
 
 def make_request(relay, **changes):
-    route = changes.pop("route", relay.table.config.routes[0])
+    route = changes.pop("route", relay.route_table.config.routes[0])
     now = relay.now()
     values = {
         "id": "attempt-1",
@@ -88,7 +88,7 @@
         "body": b"body",
         "route": route,
         "upstream": "ops",
-        "workspace": relay.table.config.workspaces[0],
+        "workspace": relay.route_table.config.workspaces[0],
         "came_at": now,
         "deadline": now + route.timeout_s,
         "waits_s": route.timeout_s,
@@ -99,8 +99,8 @@
     return requests.Request(**{**values, **changes})
 
 
-class Caller:
-    """Records what a caller is sent."""
+class RecordingCaller:
+    """Records the answer sent to a caller."""
 
     def __init__(self):
         self.status = 0
@@ -118,25 +118,27 @@
         self.complete = True
 
     def deliver(self, relay, request):
-        caller = requests.Caller(head=self.head, body=self.body, end=self.end)
-        return delivery.Delivery(relay=relay, request=request, caller=caller)
+        sender = requests.AnswerSender(
+            send_head=self.head, send_body=self.body, end_answer=self.end
+        )
+        return delivery.Delivery(relay=relay, request=request, sender=sender)
 
 
-class Endpoint:
-    """A scripted endpoint; each request takes the next step of its script.
+class ScriptedEndpoint:
+    """A scripted endpoint; each request runs the next step of the script.
 
-    A step gets (request head, writer) and answers as it likes.
+    A step is called with the request head and the writer of the connection.
     """
 
-    def __init__(self, *steps, name="e1", upstream="ops", **said):
+    def __init__(self, *steps, name="e1", upstream="ops", **announced):
         self.steps = list(steps)
         self.name = name
         self.upstream = upstream
-        self.said = said
-        self.heads = []
-        self.bodies = []
-        self.connections = 0
-        self.lost = asyncio.Event()
+        self.announced = announced
+        self.request_heads = []
+        self.request_bodies = []
+        self.connection_count = 0
+        self.connection_lost = asyncio.Event()
         self.server = None
 
     async def start(self, relay):
@@ -153,12 +155,12 @@
             "slots": 4,
             "state": directory.READY,
         }
-        said = directory.Endpoint(**{**values, **self.said})
-        directory.announce(relay.directory, said, relay.now())
+        announced = directory.Endpoint(**{**values, **self.announced})
+        directory.announce(relay.directory, announced, relay.now())
         return self
 
     async def serve(self, reader, writer):
-        self.connections += 1
+        self.connection_count += 1
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -166,9 +168,9 @@
                 for line in head.lower().split("\r\n"):
                     if line.startswith("content-length:"):
                         size = int(line.partition(":")[2])
-                self.bodies.append(await reader.readexactly(size))
-                self.heads.append(head)
-                step = self.steps.pop(0) if self.steps else answer()
+                self.request_bodies.append(await reader.readexactly(size))
+                self.request_heads.append(head)
+                step = self.steps.pop(0) if self.steps else send_answer()
                 await step(head, writer)
                 if writer.is_closing():
                     return
@@ -177,7 +179,7 @@
             asyncio.CancelledError,
             ConnectionError,
         ):
-            self.lost.set()
+            self.connection_lost.set()
         finally:
             writer.close()
 
@@ -185,7 +187,7 @@
         self.server.close()
 
 
-def answer(body=b"ok", status="200 OK", echo="attempt-1", extra=""):
+def send_answer(body=b"ok", status="200 OK", echo="attempt-1", extra=""):
     async def step(head, writer):
         writer.write(
             f"HTTP/1.1 {status}\r\nX-Attempt-Id: {echo}\r\n"
@@ -199,14 +201,14 @@
 
 
 def reset_connection(writer):
-    """Closes a connection with a reset instead of its end."""
+    """Closes a connection with a TCP reset instead of a FIN."""
     sock = writer.get_extra_info("socket")
-    at_once = struct.pack("ii", 1, 0)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
+    zero_linger = struct.pack("ii", 1, 0)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)
     writer.transport.abort()
 
 
-def raw(data, close=False, reset=False, wait_s=0.0):
+def send_bytes(data, close=False, reset=False, wait_s=0.0):
     async def step(head, writer):
         writer.write(data)
         await writer.drain()
@@ -219,15 +221,15 @@
     return step
 
 
-def silent(wait_s=30.0):
+def stay_silent(wait_s=30.0):
     async def step(head, writer):
         await asyncio.sleep(wait_s)
 
     return step
 
 
-def stream(*events, end=True, close=False, extra=""):
-    """Sends (id, text) events in chunks."""
+def send_stream(*events, end=True, close=False, extra=""):
+    """Returns a step that sends (id, text) events as chunks."""
 
     async def step(head, writer):
         writer.write(
--- a/testing/test_crash_quarantine.py
+++ b/testing/test_crash_quarantine.py
@@ -109,9 +109,11 @@
         )
         entry = entries[0]
         announcement = entry_fixtures.said("u0", "model")
-        upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
+        upstreams.announce(
+            entry.upstreams, announcement, announced_at=loop.time()
+        )
         row = entry.upstreams.rows["u0"]
-        row.broken.add("f")
+        row.unconfirmed_crashes.add("f")
         loop.run_until_complete(crash_quarantine.report_death(entry, row))
         assert sent_updates == [
             {"kind": peer_updates.SUSPECTS, "fingerprints": ["f"]}
@@ -140,7 +142,9 @@
         """With two of four upstreams dead, both others may be reserved."""
         entry = entries[0]
         announcement = entry_fixtures.said("u0", "model")
-        upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
+        upstreams.announce(
+            entry.upstreams, announcement, announced_at=loop.time()
+        )
         row = entry.upstreams.rows["u0"]
         row.isolated = "suspect"
         request = self.make_request(entry)
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -1,8 +1,8 @@
-"""Requests that crash endpoints, and innocent ones beside them."""
+"""Detection of requests that crash endpoints, without false positives."""
 
-import relays
+import relay_fixtures
 
-from _arbutuswalk.relay import intake
+from _arbutuswalk.relay import admission
 from _arbutuswalk.relay import relaying
 from _arbutuswalk.routing import crashes
 from _arbutuswalk.routing import directory
@@ -23,60 +23,62 @@
     return directory.Endpoint(**{**values, **changes})
 
 
-class TestReview:
-    def lose(self, found, known, endpoint, at):
-        directory.announce(found, endpoint, at - 0.5)
-        crashes.note_lost(known, "f", endpoint, at)
-
-    def test_an_endpoint_that_is_not_heard_again_has_died(self):
-        found, known = directory.Directory(), crashes.Crashes()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        assert crashes.review(known, found, 11.0, 1.2) == []
-        assert len(crashes.review(known, found, 12.0, 1.2)) == 1
-        assert known.deaths == {"f": {"a/1": 10.0}}
-
-    def test_one_that_only_resets_connections_has_not(self):
-        found, known = directory.Directory(), crashes.Crashes()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        directory.announce(found, make_endpoint("a", sequence=2), 11.0)
-        assert crashes.review(known, found, 12.0, 1.2) == []
-        assert known.deaths == {}
-
-    def test_one_that_started_again_has_died(self):
-        found, known = directory.Directory(), crashes.Crashes()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        directory.announce(found, make_endpoint("a", born_ms=2), 11.0)
-        assert len(crashes.review(known, found, 12.0, 1.2)) == 1
-
-    def test_one_that_leaves_has_not(self):
-        found, known = directory.Directory(), crashes.Crashes()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        directory.leave(found, "a", None, 11.0)
-        assert crashes.review(known, found, 12.0, 1.2) == []
-
-    def test_deaths_are_forgotten(self):
-        found, known = directory.Directory(), crashes.Crashes()
-        self.lose(found, known, make_endpoint("a"), 10.0)
-        crashes.review(known, found, 12.0, 1.2)
-        crashes.review(known, found, 12.0 + crashes.KEPT_S, 1.2)
-        assert known.deaths == {}
-
-
-class TestAddUp:
+class TestResolveSuspects:
+    def lose_connection(self, endpoints, tracker, endpoint, at):
+        directory.announce(endpoints, endpoint, at - 0.5)
+        crashes.record_lost_connection(tracker, "f", endpoint, at)
+
+    def test_an_endpoint_without_further_heartbeats_has_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        assert crashes.resolve_suspects(tracker, endpoints, 11.0, 1.2) == []
+        assert len(crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2)) == 1
+        assert tracker.deaths == {"f": {"a/1": 10.0}}
+
+    def test_an_endpoint_that_only_resets_connections_has_not_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        directory.announce(endpoints, make_endpoint("a", sequence=2), 11.0)
+        assert crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2) == []
+        assert tracker.deaths == {}
+
+    def test_an_endpoint_that_restarted_has_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        directory.announce(endpoints, make_endpoint("a", born_ms=2), 11.0)
+        assert len(crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2)) == 1
+
+    def test_an_endpoint_that_leaves_has_not_died(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        directory.deregister(endpoints, "a", None, 11.0)
+        assert crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2) == []
+
+    def test_deaths_expire(self):
+        endpoints, tracker = directory.Directory(), crashes.CrashTracker()
+        self.lose_connection(endpoints, tracker, make_endpoint("a"), 10.0)
+        crashes.resolve_suspects(tracker, endpoints, 12.0, 1.2)
+        crashes.resolve_suspects(
+            tracker, endpoints, 12.0 + crashes.DEATH_RETENTION_S, 1.2
+        )
+        assert tracker.deaths == {}
+
+
+class TestFingerprintsToRefuse:
     def test_one_death_seen_by_many_entries_counts_once(self):
         reports = [{"f": ["a/1"]}] * 5
-        assert crashes.add_up(reports) == []
+        assert crashes.fingerprints_to_refuse(reports) == []
 
-    def test_deaths_at_several_entries_add_up(self):
+    def test_deaths_at_several_entries_are_summed(self):
         reports = [{"f": ["a/1"], "g": ["a/1"]}, {"f": ["b/1"]}]
         reports.append({"f": ["c/1"], "g": ["c/1"]})
-        assert crashes.add_up(reports) == ["f"]
+        assert crashes.fingerprints_to_refuse(reports) == ["f"]
 
 
 class TestRelay:
     async def test_a_refused_request_reaches_no_endpoint(self):
-        relay = relays.make_relay()
-        arrival = intake.Arrival(
+        relay = relay_fixtures.make_relay()
+        arrival = admission.IncomingRequest(
             id="attempt-1",
             method="POST",
             host="h.example",
@@ -90,22 +92,24 @@
             last_event="",
             came_at=relay.now(),
         )
-        admitted = intake.admit(relay, arrival)
-        relay.refused = frozenset([admitted.fingerprint])
-        refusal = intake.admit(relay, arrival)
+        admitted = admission.admit(relay, arrival)
+        relay.refused_fingerprints = frozenset([admitted.fingerprint])
+        refusal = admission.admit(relay, arrival)
         assert refusal.status == 503
         assert refusal.retry_after_s > 0
-        other = intake.admit(relay, arrival._replace(body=b"innocent"))
-        assert not isinstance(other, intake.Refusal)
+        other = admission.admit(relay, arrival._replace(body=b"innocent"))
+        assert not isinstance(other, admission.Refusal)
 
     async def test_a_lost_connection_makes_a_suspect(self):
-        relay = relays.make_relay()
-        broken = relays.raw(b"", reset=True)
-        endpoint = await relays.Endpoint(broken, broken).start(relay)
-        request = relays.make_request(relay)
-        caller = relays.Caller()
+        relay = relay_fixtures.make_relay()
+        broken = relay_fixtures.send_bytes(b"", reset=True)
+        endpoint = await relay_fixtures.ScriptedEndpoint(broken, broken).start(
+            relay
+        )
+        request = relay_fixtures.make_request(relay)
+        caller = relay_fixtures.RecordingCaller()
         await relaying.relay_request(
             relay, request, caller.deliver(relay, request)
         )
         endpoint.stop()
-        assert [each.endpoint for each in relay.crashes.suspects] == ["e1"]
+        assert [each.endpoint_id for each in relay.crashes.suspects] == ["e1"]
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -3,12 +3,12 @@
 import random
 
 import pytest
-import relays
+import relay_fixtures
 
 from _arbutuswalk.relay import results
-from _arbutuswalk.routing import endpoints
-from _arbutuswalk.routing import health
-from _arbutuswalk.routing import recent
+from _arbutuswalk.routing import outliers
+from _arbutuswalk.routing import recent_parts
+from _arbutuswalk.routing import selection
 from _arbutuswalk.state import evidence
 from _arbutuswalk.state import rollout_policy
 from _arbutuswalk.state import rollouts
@@ -30,16 +30,16 @@
         "doubtful": False,
     }
     return [
-        endpoints.Candidate(id=f"e{i}", **{**values, **changes})
+        selection.Candidate(id=f"e{i}", **{**values, **changes})
         for i in range(count)
     ]
 
 
 class TestEndpointChoice:
     def test_requests_that_share_prompt_parts_go_to_one_endpoint(self):
-        work = endpoints.Work(5000, (("wide", 2000), ("narrow", 2500)))
+        work = selection.PromptProfile(5000, (("wide", 2000), ("narrow", 2500)))
         chosen = {
-            endpoints.choose(
+            selection.choose(
                 make_candidates(9), work, (), (draw, 1 - draw - 0.01)
             ).id
             for draw in (0.0, 0.3, 0.6, 0.9)
@@ -47,26 +47,26 @@
         assert len(chosen) == 1
 
     def test_an_overloaded_endpoint_is_avoided(self):
-        work = endpoints.Work(5000, (("wide", 2000), ("narrow", 2500)))
+        work = selection.PromptProfile(5000, (("wide", 2000), ("narrow", 2500)))
         candidates = make_candidates(9)
-        first = endpoints.choose(candidates, work, (), (0.1, 0.9))
+        first = selection.choose(candidates, work, (), (0.1, 0.9))
         assert first.tokens == 500
         crowded = [
             each._replace(waiting_tokens=20_000 * (each.id == first.id))
             for each in candidates
         ]
-        second = endpoints.choose(crowded, work, (), (0.1, 0.9))
+        second = selection.choose(crowded, work, (), (0.1, 0.9))
         assert second.id != first.id
         assert second.tokens == 3000
 
     def test_an_endpoint_that_recently_got_a_prompt_part_computes_only_the_rest(
         self,
     ):
-        work = endpoints.Work(5000, (("narrow", 4500),))
+        work = selection.PromptProfile(5000, (("narrow", 4500),))
         candidates = make_candidates(3)
-        first = endpoints.choose(candidates, work, (), (0.1, 0.9))
+        first = selection.choose(candidates, work, (), (0.1, 0.9))
         others = [each for each in candidates if each.id != first.id]
-        held = endpoints.choose(others, work, {others[1].id}, (0.1, 0.9))
+        held = selection.choose(others, work, {others[1].id}, (0.1, 0.9))
         assert held.tokens == 500
 
     def test_doubtful_endpoints_come_last(self):
@@ -74,22 +74,22 @@
         doubtful = doubtful._replace(doubtful=True)
         good = good._replace(running=50)
         for draw in (0.0, 0.5, 0.99):
-            found = endpoints.choose([doubtful, good], None, (), (draw, draw))
+            found = selection.choose([doubtful, good], None, (), (draw, draw))
             assert found.id == good.id
-        assert endpoints.choose([doubtful], None, (), (0.1, 0.1))
-        assert endpoints.choose([], None, (), (0.1, 0.1)) is None
+        assert selection.choose([doubtful], None, (), (0.1, 0.1))
+        assert selection.choose([], None, (), (0.1, 0.1)) is None
 
     def test_plain_requests_go_to_the_least_loaded_endpoint(self):
         candidates = [
             each._replace(running=running, slots=6)
             for each, running in zip(make_candidates(3), (4, 1, 3), strict=True)
         ]
-        assert endpoints.choose(candidates, None, (), (0.5, 0.5)).id == "e1"
+        assert selection.choose(candidates, None, (), (0.5, 0.5)).id == "e1"
 
     def test_a_popular_prompt_part_is_spread_over_more_endpoints(self):
         """A prompt part of all requests must not overload one endpoint."""
         rng = random.Random(7)
-        work = endpoints.Work(4000, (("hot", 3000),))
+        work = selection.PromptProfile(4000, (("hot", 3000),))
         loads = {f"e{i}": 0 for i in range(9)}
         for _ in range(200):
             candidates = [
@@ -97,35 +97,42 @@
                 for each in make_candidates(9)
             ]
             draws = (rng.random(), rng.random())
-            chosen = endpoints.choose(candidates, work, (), draws)
+            chosen = selection.choose(candidates, work, (), draws)
             loads[chosen.id] += chosen.tokens
         mean = sum(loads.values()) / len(loads)
         assert max(loads.values()) < 2.5 * mean
 
     def test_old_placements_expire(self):
-        recent_placements = recent.Recent()
-        recent_placements.note("p", "e1", 0.0)
-        assert recent_placements.holders("p", recent.KEPT_S) == {"e1"}
-        assert recent_placements.holders("p", recent.KEPT_S + 0.1) == set()
+        recent_placements = recent_parts.RecentParts()
+        recent_placements.record("p", "e1", 0.0)
+        assert recent_placements.endpoints_holding(
+            "p", recent_parts.PART_RETENTION_S
+        ) == {"e1"}
+        assert (
+            recent_placements.endpoints_holding(
+                "p", recent_parts.PART_RETENTION_S + 0.1
+            )
+            == set()
+        )
 
 
 class TestHealth:
     def simulate(self, rates, seed, requests=400):
         """Avoids doubtful endpoints; returns the failure rate."""
         rng = random.Random(seed)
-        endpoint_health = health.Health()
+        endpoint_health = outliers.OutlierDetector()
         endpoint_names = sorted(rates)
         failed = 0
         for request_number in range(requests):
             now = request_number * 0.05
-            doubtful = endpoint_health.doubtful(endpoint_names, now)
+            doubtful = endpoint_health.outliers(endpoint_names, now)
             candidates = [
                 other for other in endpoint_names if other not in doubtful
             ] or endpoint_names
             name = rng.choice(candidates)
             fails = rng.random() < rates[name]
             failed += fails
-            endpoint_health.note(name, failed=fails, now=now)
+            endpoint_health.record(name, failed=fails, now=now)
         return failed / requests
 
     @pytest.mark.parametrize("seed", range(5))
@@ -136,23 +143,23 @@
     @pytest.mark.parametrize("seed", range(5))
     def test_failures_of_all_endpoints_make_none_doubtful_for_long(self, seed):
         rng = random.Random(seed)
-        endpoint_health = health.Health()
+        endpoint_health = outliers.OutlierDetector()
         doubtful_count = 0
         for number in range(600):
             now = number * 0.05
             name = rng.choice("abc")
-            endpoint_health.note(name, failed=rng.random() < 0.14, now=now)
+            endpoint_health.record(name, failed=rng.random() < 0.14, now=now)
             doubtful_count += len(
-                endpoint_health.doubtful(["a", "b", "c"], now)
+                endpoint_health.outliers(["a", "b", "c"], now)
             )
         assert doubtful_count / 600 < 0.5
 
     def test_old_failures_expire(self):
-        endpoint_health = health.Health()
+        endpoint_health = outliers.OutlierDetector()
         for _ in range(20):
-            endpoint_health.note("a", failed=True, now=0.0)
-        assert endpoint_health.doubtful(["a", "b"], 1.0) == {"a"}
-        assert endpoint_health.doubtful(["a", "b"], 10.0) == set()
+            endpoint_health.record("a", failed=True, now=0.0)
+        assert endpoint_health.outliers(["a", "b"], 1.0) == {"a"}
+        assert endpoint_health.outliers(["a", "b"], 10.0) == set()
 
 
 class FleetSimulation:
@@ -458,19 +465,19 @@
     def test_only_repeatable_requests_are_retried(
         self, kind, resumable, result, again
     ):
-        route = relays.make_route(kind=kind, resumable=resumable)
-        tally = results.add(results.Tally(), result)
-        assert results.may_try_again(result, route, tally, 1.0) == again
+        route = relay_fixtures.make_route(kind=kind, resumable=resumable)
+        tally = results.tally_result(results.Tally(), result)
+        assert results.may_retry(result, route, tally, 1.0) == again
 
     def test_a_request_that_may_have_run_is_not_refused(self):
-        tally = results.add(results.Tally(), results.Lost(reason=""))
-        tally = results.add(tally, results.NotSent(reason=""))
+        tally = results.tally_result(results.Tally(), results.Lost(reason=""))
+        tally = results.tally_result(tally, results.NotSent(reason=""))
         final = results.NotSent(reason="")
         assert results.final_status(final, tally) == 502
         assert results.final_status(final, results.Tally()) == 503
 
     def test_no_retry_without_time_left(self):
-        route = relays.make_route()
+        route = relay_fixtures.make_route()
         lost = results.Lost(reason="")
-        tally = results.add(results.Tally(), lost)
-        assert not results.may_try_again(lost, route, tally, 0.01)
+        tally = results.tally_result(results.Tally(), lost)
+        assert not results.may_retry(lost, route, tally, 0.01)
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -186,12 +186,15 @@
         assert edge.announce(said).status == 400
 
     def test_announcement_of_a_known_id_from_another_address(self, edge):
-        address_before = edge.entry.upstreams.rows["u0"].said["address"]
+        address_before = edge.entry.upstreams.rows["u0"].announcement["address"]
         announcement = entry_fixtures.said(
             "u0", "model", address="127.0.0.1:77", incarnation=1, sequence=50
         )
         assert edge.announce(announcement).status == 409
-        assert edge.entry.upstreams.rows["u0"].said["address"] == address_before
+        assert (
+            edge.entry.upstreams.rows["u0"].announcement["address"]
+            == address_before
+        )
 
     @hypothesis.given(
         method=st.sampled_from(["GET", "POST", "PUT", "DELETE", "X"]),
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -1,19 +1,19 @@
-"""An entry that follows control, and goes on without it."""
+"""An entry that watches control, and continues without it."""
 
 import asyncio
 import json
 
-import relays
+import relay_fixtures
 import test_crashes
 
-from _arbutuswalk.relay import core
-from _arbutuswalk.relay import watching
+from _arbutuswalk.relay import control_watch
+from _arbutuswalk.relay import relay_state
 from _arbutuswalk.routing import directory
 from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
 
-class Clock:
+class FakeClock:
     def __init__(self):
         self.time = 1000.0
 
@@ -22,16 +22,18 @@
 
 
 def make_watcher():
-    relay = relays.make_relay()
-    relay.now = Clock()
+    relay = relay_fixtures.make_relay()
+    relay.now = FakeClock()
     relay.started_at = relay.now()
-    watcher = watching.Watcher(relay=relay, seeds=[], listens_on="127.0.0.1:1")
-    feed = watching.Feed(address="127.0.0.1:2", now=relay.now())
+    watcher = control_watch.ControlWatcher(
+        relay=relay, seeds=[], listen_address="127.0.0.1:1"
+    )
+    feed = control_watch.ControlFeed(address="127.0.0.1:2", now=relay.now())
     watcher.feeds[feed.address] = feed
     return watcher, feed
 
 
-def news(**changes):
+def make_reply(**changes):
     values = {
         "endpoints": [],
         "members": [],
@@ -50,74 +52,84 @@
 
 
 class TestWithoutControl:
-    def test_known_endpoints_stay_while_nobody_answers(self):
+    def test_known_endpoints_are_kept_while_control_is_lost(self):
         watcher, feed = make_watcher()
-        watcher._take(feed, news(endpoints=[test_crashes.make_endpoint("a")]))
-        feed.answered = False
+        watcher._apply_reply(
+            feed, make_reply(endpoints=[test_crashes.make_endpoint("a")])
+        )
+        feed.connected = False
         for _ in range(200):
             watcher.relay.now.time += 0.5
-            feed.heard_at = watcher.relay.now()
+            feed.last_answer_at = watcher.relay.now()
             watcher.tick()
         assert "a" in watcher.relay.directory.rows
 
-    def test_they_get_time_to_be_heard_when_control_is_back(self):
+    def test_endpoints_expire_only_some_time_after_control_is_back(self):
         watcher, feed = make_watcher()
-        watcher._take(feed, news(endpoints=[test_crashes.make_endpoint("a")]))
-        feed.answered = False
+        watcher._apply_reply(
+            feed, make_reply(endpoints=[test_crashes.make_endpoint("a")])
+        )
+        feed.connected = False
         watcher.relay.now.time += 100
-        feed.heard_at = watcher.relay.now()
+        feed.last_answer_at = watcher.relay.now()
         watcher.tick()
-        watcher._take(feed, news())
+        watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" in watcher.relay.directory.rows
-        watcher.relay.now.time += watching.FORGET_S + 1
-        watcher._take(feed, news())
+        watcher.relay.now.time += control_watch.ENDPOINT_EXPIRY_S + 1
+        watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" not in watcher.relay.directory.rows
 
 
-class TestLearning:
-    async def test_the_longest_wait_does_not_begin_anew_with_each_news(self):
+class TestStartupWait:
+    async def test_the_longest_wait_does_not_restart_with_each_update(self):
         watcher, _ = make_watcher()
         relay = watcher.relay
-        waiting = asyncio.ensure_future(relay.learn(lambda: False))
+        waiting = asyncio.ensure_future(relay.wait_until_known(lambda: False))
         for _ in range(3):
             await asyncio.sleep(0)
-            relay.now.time += 0.6 * core.MOST_WAIT_S
-            relay.tell()
+            relay.now.time += 0.6 * relay_state.MAX_STARTUP_WAIT_S
+            relay.notify_waiters()
             await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert waiting.done()
         assert waiting.result() is False
 
 
-class TestNews:
-    def test_an_older_configuration_is_not_taken(self):
+class TestReplies:
+    def test_an_older_configuration_is_not_applied(self):
         watcher, feed = make_watcher()
-        before = watcher.relay.table
-        config = json.loads(json.dumps(relays.make_config(version=1)._asdict()))
-        watcher._serve_routes(config, "test")
-        watcher._take(feed, news(routes_version=1))
-        assert watcher.relay.table is before
-        assert watcher.fetching is None
-
-    async def test_a_newer_configuration_is_fetched_and_not_told_again(self):
+        before = watcher.relay.route_table
+        config = json.loads(
+            json.dumps(relay_fixtures.make_config(version=1)._asdict())
+        )
+        watcher._apply_fetched_routes(config, "test")
+        watcher._apply_reply(feed, make_reply(routes_version=1))
+        assert watcher.relay.route_table is before
+        assert watcher.fetch_task is None
+
+    async def test_a_newer_configuration_is_fetched_and_not_requested_again(
+        self,
+    ):
         watcher, feed = make_watcher()
-        watcher._take(feed, news(routes_version=5))
-        assert not watcher.fetching.done()
-        assert watcher._message(feed).routes_version == 5
-        watcher.fetching.cancel()
+        watcher._apply_reply(feed, make_reply(routes_version=5))
+        assert not watcher.fetch_task.done()
+        assert watcher._make_watch_message(feed).routes_version == 5
+        watcher.fetch_task.cancel()
 
-    def test_own_loads_are_taken_out_of_the_sums(self):
+    def test_own_loads_are_subtracted_from_the_totals(self):
         watcher, feed = make_watcher()
         watcher.relay.add_load("a", 2, 100)
-        watcher._message(feed)
-        watcher._take(feed, news(loads={"a": [5, 150], "b": [1, 0]}))
-        assert watcher.relay.others == {"a": (3, 50), "b": (1, 0)}
+        watcher._make_watch_message(feed)
+        watcher._apply_reply(
+            feed, make_reply(loads={"a": [5, 150], "b": [1, 0]})
+        )
+        assert watcher.relay.other_loads == {"a": (3, 50), "b": (1, 0)}
 
     def test_a_leaving_endpoint_is_not_ready_at_once(self):
         watcher, feed = make_watcher()
         leaving = test_crashes.make_endpoint("a", state=directory.LEAVING)
-        watcher._take(feed, news(endpoints=[leaving]))
+        watcher._apply_reply(feed, make_reply(endpoints=[leaving]))
         row = watcher.relay.directory.rows["a"]
         assert row.endpoint.state == directory.LEAVING
