--- a/src/_arbutuswalk/base/__init__.py
+++ b/src/_arbutuswalk/base/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, outcomes, events, settings and metrics shared by all layers."""
+"""Clocks, log events, metrics, settings and start-up shared by all layers."""
--- a/src/_arbutuswalk/base/events.py
+++ b/src/_arbutuswalk/base/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events; ``docs/events.md`` is their catalogue."""
+"""Numbered log events, catalogued in ``docs/events.md``."""
 
 import enum
 import re
@@ -6,13 +6,13 @@
 from absl import logging
 
 from _arbutuswalk.base import clock
-from _arbutuswalk.base import lines
+from _arbutuswalk.base import structured_log
 
-_FIELD = re.compile(r"(\w+)=%s")
+_FIELD_PATTERN = re.compile(r"(\w+)=%s")
 
 
 class Event(enum.Enum):
-    """An event's number and its message, with ``%s`` for each field."""
+    """Number and message format of each event, with ``%s`` for each field."""
 
     PROCESS_STARTED = (100, "started role=%s id=%s address=%s")
     PROCESS_DRAINING = (101, "draining role=%s id=%s")
@@ -101,7 +101,7 @@
 
     @property
     def number(self) -> int:
-        """The event's stable number."""
+        """The event's number, which stays the same between releases."""
         return self.value[0]
 
     @property
@@ -111,29 +111,29 @@
 
 
 def log(event: Event, *fields: object) -> None:
-    """Logs ``event`` at info level, or as a structured line if those are on."""
-    if lines.current() is not None:
+    """Logs ``event`` as a structured line if enabled, else at info level."""
+    if structured_log.current_writer() is not None:
         record(event, *fields)
         return
     logging.info("E%d " + event.message, event.number, *fields)
 
 
 def warn(event: Event, *fields: object) -> None:
-    """Logs ``event`` at warning level, and as a structured line if on."""
+    """Logs ``event`` at warning level, and as a structured line if enabled."""
     record(event, *fields)
     logging.warning("E%d " + event.message, event.number, *fields)
 
 
 def record(event: Event, *fields: object) -> None:
-    """Writes ``event`` as one structured line, if a structured log is on."""
-    writer = lines.current()
+    """Writes ``event`` as one structured line if the structured log is on."""
+    writer = structured_log.current_writer()
     if writer is None:
         return
-    names = _FIELD.findall(event.message)
-    line = {
+    names = _FIELD_PATTERN.findall(event.message)
+    fields_by_name = {
         "at": round(clock.wall(), 3),
         "event": event.number,
         "name": event.name.lower(),
         **dict(zip(names, fields, strict=True)),
     }
-    writer.write(event.number, line)
+    writer.write(event.number, fields_by_name)
--- a/src/_arbutuswalk/base/metrics.py
+++ b/src/_arbutuswalk/base/metrics.py
@@ -4,11 +4,11 @@
 
 from hdrh import histogram
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 2
+MIN_DURATION_US = 1
+MAX_DURATION_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 US_PER_S = 1_000_000
-QUANTILES = (50.0, 95.0, 99.0)
+PERCENTILES = (50.0, 95.0, 99.0)
 
 
 class Metrics:
@@ -24,28 +24,30 @@
         self.histograms: dict[tuple[str, str], histogram.HdrHistogram] = {}
 
     def count(self, name: str, labels: str = "", by: int = 1) -> None:
-        """Adds ``by`` to a counter."""
+        """Adds ``amount`` to a counter."""
         self.counters[name, labels] += by
 
     def record(self, name: str, labels: str, seconds: float) -> None:
-        """Records one duration."""
-        found = self.histograms.get((name, labels))
-        if found is None:
-            found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-            self.histograms[name, labels] = found
-        found.record_value(max(LOWEST_US, int(seconds * US_PER_S)))
+        """Records one duration in a histogram."""
+        recorded = self.histograms.get((name, labels))
+        if recorded is None:
+            recorded = histogram.HdrHistogram(
+                MIN_DURATION_US, MAX_DURATION_US, SIGNIFICANT_DIGITS
+            )
+            self.histograms[name, labels] = recorded
+        recorded.record_value(max(MIN_DURATION_US, int(seconds * US_PER_S)))
 
     def quantile(self, name: str, labels: str, percent: float) -> float:
-        """Returns a quantile in seconds, zero when nothing was recorded."""
-        found = self.histograms.get((name, labels))
-        if found is None:
+        """Returns a percentile in seconds, zero if nothing was recorded."""
+        recorded = self.histograms.get((name, labels))
+        if recorded is None:
             return 0.0
-        return found.get_value_at_percentile(percent) / US_PER_S
+        return recorded.get_value_at_percentile(percent) / US_PER_S
 
     def render(self) -> str:
-        """Returns the text exposition format."""
+        """Returns all metrics in the text exposition format."""
         lines = [
-            f"arbutuswalk_{name}{_braces(labels)} {value}"
+            f"arbutuswalk_{name}{_label_block(labels)} {value}"
             for (name, labels), value in sorted(self.counters.items())
         ]
         for name, labels in sorted(self.histograms):
@@ -53,18 +55,20 @@
         return "\n".join(lines) + "\n"
 
     def _render_histogram(self, name: str, labels: str) -> list[str]:
-        found = self.histograms[name, labels]
+        recorded = self.histograms[name, labels]
         lines = []
-        for percent in QUANTILES:
-            value = found.get_value_at_percentile(percent) / US_PER_S
-            both = f'{labels},quantile="{percent / 100}"'.lstrip(",")
-            lines.append(f"arbutuswalk_{name}_seconds{{{both}}} {value:.6f}")
-        count = found.get_total_count()
+        for percent in PERCENTILES:
+            value = recorded.get_value_at_percentile(percent) / US_PER_S
+            all_labels = f'{labels},quantile="{percent / 100}"'.lstrip(",")
+            lines.append(
+                f"arbutuswalk_{name}_seconds{{{all_labels}}} {value:.6f}"
+            )
+        count = recorded.get_total_count()
         lines.append(
-            f"arbutuswalk_{name}_seconds_count{_braces(labels)} {count}"
+            f"arbutuswalk_{name}_seconds_count{_label_block(labels)} {count}"
         )
         return lines
 
 
-def _braces(labels: str) -> str:
+def _label_block(labels: str) -> str:
     return f"{{{labels}}}" if labels else ""
--- a/src/_arbutuswalk/base/process.py
+++ b/src/_arbutuswalk/base/process.py
@@ -1,4 +1,4 @@
-"""What every binary does alike: arguments, logs, signals, dumps."""
+"""Start-up shared by all binaries: arguments, logging, signals, state dumps."""
 
 import argparse
 import asyncio
@@ -24,7 +24,8 @@
 ) -> dict[str, Any]:
     """Parses the command line and the settings file, or exits.
 
-    Exits with 2 on bad settings, and with 0 after ``--check`` found none.
+    Exits with 2 on invalid settings, and with 0 after ``--check`` of valid
+    ones.
     """
     parser = argparse.ArgumentParser(prog=program)
     parser.add_argument("settings", help="TOML settings file")
@@ -38,7 +39,7 @@
             print(problem, file=sys.stderr)
         sys.exit(settings.EXIT_BAD_SETTINGS)
     if arguments.check:
-        print(f"{arguments.settings}: good")
+        print(f"{arguments.settings}: settings are valid")
         sys.exit(EXIT_OK)
     return loaded
 
@@ -52,7 +53,7 @@
 def on_signals(
     *, drain: Callable[[], None], dump: Callable[[], dict[str, Any]]
 ) -> None:
-    """Drains on SIGTERM and SIGINT, writes a state dump on SIGUSR1."""
+    """Drains on SIGTERM and SIGINT, and writes a state dump on SIGUSR1."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, drain)
     loop.add_signal_handler(signal.SIGINT, drain)
@@ -60,7 +61,7 @@
 
 
 def _write_dump(state: dict[str, Any]) -> None:
-    name = f"arbutuswalk-{state['role']}-{state['id']}.json"
-    path = pathlib.Path(tempfile.gettempdir()) / name
+    file_name = f"arbutuswalk-{state['role']}-{state['id']}.json"
+    path = pathlib.Path(tempfile.gettempdir()) / file_name
     path.write_text(json.dumps(state, indent=2), encoding="utf-8")
     events.log(events.Event.STATE_DUMPED, path)
--- a/src/_arbutuswalk/base/settings.py
+++ b/src/_arbutuswalk/base/settings.py
@@ -1,4 +1,7 @@
-"""Checked TOML settings: every problem names file, key, value and the fix."""
+"""Validation of TOML settings.
+
+Each problem names the file, the key, the value and what is accepted.
+"""
 
 import dataclasses
 import pathlib
@@ -11,7 +14,7 @@
 EXIT_BAD_SETTINGS = 2
 
 REQUIRED = object()
-"""Default of a field that has to be given."""
+"""Default of a field that has no default value."""
 
 
 class Field(NamedTuple):
@@ -19,9 +22,9 @@
 
     Attributes:
         key: Name in the file.
-        accepts: What the value may be, in words.
-        check: Returns true for an acceptable value.
-        default: Value when absent, or ``REQUIRED``.
+        accepts: Description of the accepted values, for error messages.
+        check: Returns true for an accepted value.
+        default: Value if the key is absent, or ``REQUIRED``.
     """
 
     key: str
@@ -32,43 +35,43 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BadSettings:
-    """Settings that were refused, with one line for each problem."""
+    """Invalid settings, with one line for each problem."""
 
     problems: tuple[str, ...]
 
 
 def is_text(value: object) -> bool:
-    """Tells whether ``value`` is a non-empty string."""
+    """Returns whether ``value`` is a non-empty string."""
     return isinstance(value, str) and bool(value)
 
 
 def is_flag(value: object) -> bool:
-    """Tells whether ``value`` is a boolean."""
+    """Returns whether ``value`` is a boolean."""
     return isinstance(value, bool)
 
 
 def is_positive(value: object) -> bool:
-    """Tells whether ``value`` is a positive number."""
+    """Returns whether ``value`` is a positive number."""
     return _is_number(value) and value > 0
 
 
 def is_natural(value: object) -> bool:
-    """Tells whether ``value`` is a whole number of at least zero."""
+    """Returns whether ``value`` is an integer of at least zero."""
     return _is_number(value) and isinstance(value, int) and value >= 0
 
 
 def is_rate(value: object) -> bool:
-    """Tells whether ``value`` is a number from 0 to 1."""
+    """Returns whether ``value`` is a number from 0 to 1."""
     return _is_number(value) and 0 <= value <= 1
 
 
 def is_not_negative(value: object) -> bool:
-    """Tells whether ``value`` is a number of at least 0."""
+    """Returns whether ``value`` is a number of at least 0."""
     return _is_number(value) and value >= 0
 
 
 def is_address(value: object) -> bool:
-    """Tells whether ``value`` is ``IP:port``."""
+    """Returns whether ``value`` is an IPv4 address and port, ``IP:port``."""
     if not isinstance(value, str):
         return False
     host, _, port = value.rpartition(":")
@@ -81,7 +84,7 @@
 
 
 def is_address_list(value: object) -> bool:
-    """Tells whether ``value`` is a list of ``IP:port``."""
+    """Returns whether ``value`` is a list of ``IP:port``."""
     return isinstance(value, list) and all(is_address(v) for v in value)
 
 
@@ -92,15 +95,15 @@
 def check(
     values: dict[str, Any], fields: Sequence[Field], *, where: str
 ) -> dict[str, Any] | BadSettings:
-    """Checks ``values`` against ``fields`` and fills in defaults.
+    """Validates ``values`` against ``fields`` and fills in defaults.
 
     Args:
         values: Parsed table.
-        fields: Every key the table may have.
-        where: File, and table if any, for the messages.
+        fields: All keys that the table may have.
+        where: File, and table if any, as messages name them.
 
     Returns:
-        The complete values, or every problem found.
+        The values with defaults filled in, or all problems found.
     """
     problems = _unknown_keys(values, fields, where)
     complete = {}
@@ -122,7 +125,7 @@
 
 
 def load(path: str, fields: Sequence[Field]) -> dict[str, Any] | BadSettings:
-    """Reads and checks one settings file."""
+    """Reads and validates one settings file."""
     parsed = read_toml(path)
     if isinstance(parsed, BadSettings):
         return parsed
@@ -130,7 +133,7 @@
 
 
 def read_toml(path: str) -> dict[str, Any] | BadSettings:
-    """Parses a TOML file without checking its keys."""
+    """Parses a TOML file without validating its keys."""
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
         return tomllib.loads(text)
--- a/src/_arbutuswalk/cli/apply.py
+++ b/src/_arbutuswalk/cli/apply.py
@@ -1,4 +1,4 @@
-"""``arbutuswalk apply``: makes an inventory the configuration."""
+"""``arbutuswalk apply``: applies an inventory as the configuration."""
 
 import os
 import time
@@ -9,21 +9,21 @@
 
 from _arbutuswalk.base import settings
 from _arbutuswalk.cli import common
-from _arbutuswalk.cli import differences
+from _arbutuswalk.cli import inventory_diff
 from _arbutuswalk.cli import remote
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
 from _arbutuswalk.state import moves
 from _arbutuswalk.state import outcomes
 
-POLL_S = 0.25
+POLL_INTERVAL_S = 0.25
 
 
 class Apply(common.Command):
     """Applies an inventory."""
 
     name = "apply"
-    description = "Make an inventory the configuration"
+    description = "Apply an inventory as the new configuration"
     arguments = [helpers.argument("inventory", "TOML inventory file")]
     options = [
         common.CONTROL_OPTION,
@@ -31,73 +31,79 @@
         helpers.option(
             "expected",
             "e",
-            "revision you edited; default: the current one",
+            "revision that you edited; default: the current revision",
             flag=False,
         ),
         helpers.option(
             "operation",
             "o",
-            "id of this operation, the same when you send it again",
+            "operation id; give the same id when retrying",
             flag=False,
         ),
-        helpers.option("operator", None, "who you are", flag=False),
-        helpers.option("wait", "w", "wait until it is in force and moved"),
+        helpers.option(
+            "operator", None, "name recorded with the revision", flag=False
+        ),
+        helpers.option(
+            "wait", "w", "wait until it is in force and its moves have ended"
+        ),
         helpers.option(
             "timeout", "t", "seconds to wait", flag=False, default="3600"
         ),
-        helpers.option("dry-run", None, "show the difference, change nothing"),
+        helpers.option("dry-run", None, "show the changes without applying"),
     ]
 
     def handle(self) -> int:
         """Runs the command."""
-        control = self.addresses()
-        inventory = self._load()
-        status = self.checked(remote.read(control, "status"))
-        expected = self._number("expected", status["revision"])
+        control = self.control_addresses()
+        inventory = self._load_inventory()
+        status = self.result_or_exit(remote.read(control, "status"))
+        expected_revision = self._integer_option("expected", status["revision"])
         if self.option("dry-run"):
             return self._dry_run(control, inventory, status["revision"])
-        operation = self.option("operation") or uuid.uuid4().hex
-        outcome = self.checked(
+        operation_id = self.option("operation") or uuid.uuid4().hex
+        outcome = self.result_or_exit(
             remote.submit(
                 control,
                 commands.Apply(
-                    operation,
+                    operation_id,
                     self.option("operator") or os.environ.get("USER", ""),
-                    expected,
+                    expected_revision,
                     inventory,
                 ),
             )
         )
         if isinstance(outcome, outcomes.Accepted):
-            return self._accepted(control, outcome, operation)
+            return self._report_accepted(control, outcome, operation_id)
         if isinstance(outcome, outcomes.Conflict):
-            self.fail(
+            self.exit_with_error(
                 f"conflict: revision {outcome.revision} by"
                 f" {outcome.operator or 'unknown'}"
-                f" ({outcome.operation}) is newer than {expected}; look at"
-                " it with --dry-run and apply again",
+                f" ({outcome.operation}) is newer than {expected_revision};"
+                " compare with --dry-run and apply again",
                 common.EXIT_CONFLICT,
             )
-        self.fail(f"refused: {outcome}", common.EXIT_REFUSED)
+        self.exit_with_error(f"refused: {outcome}", common.EXIT_REFUSED)
         return common.EXIT_REFUSED
 
-    def _load(self) -> inventories.Inventory:
+    def _load_inventory(self) -> inventories.Inventory:
         path = self.argument("inventory")
-        raw = settings.read_toml(path)
-        checked = raw
-        if not isinstance(raw, settings.BadSettings):
-            checked = inventories.check(raw, where=path)
+        parsed = settings.read_toml(path)
+        checked = parsed
+        if not isinstance(parsed, settings.BadSettings):
+            checked = inventories.check(parsed, where=path)
         if isinstance(checked, settings.BadSettings):
-            self.fail("\n".join(checked.problems), common.EXIT_BAD_INPUT)
+            self.exit_with_error(
+                "\n".join(checked.problems), common.EXIT_BAD_INPUT
+            )
         return checked
 
-    def _number(self, name: str, default: int) -> int:
+    def _integer_option(self, name: str, default: int) -> int:
         text = self.option(name)
         if text is None:
             return default
         if not text.isdigit():
-            self.fail(
-                f"--{name}: {text!r}: give a number", common.EXIT_BAD_INPUT
+            self.exit_with_error(
+                f"--{name}: {text!r}: expected a number", common.EXIT_BAD_INPUT
             )
         return int(text)
 
@@ -107,64 +113,70 @@
         inventory: inventories.Inventory,
         revision: int,
     ) -> int:
-        current = self.checked(remote.read(control, "inventory"))
-        lines = differences.describe(current, inventory)
-        self.show(
-            {"revision": revision, "changes": lines},
-            [f"against revision {revision}:", *(lines or ["no change"])],
+        current = self.result_or_exit(remote.read(control, "inventory"))
+        changes = inventory_diff.diff_inventories(current, inventory)
+        self.print_result(
+            {"revision": revision, "changes": changes},
+            [f"against revision {revision}:", *(changes or ["no change"])],
         )
         return common.EXIT_OK
 
-    def _accepted(
-        self, control: list[str], outcome: outcomes.Accepted, operation: str
+    def _report_accepted(
+        self, control: list[str], outcome: outcomes.Accepted, operation_id: str
     ) -> int:
         result = {
             "revision": outcome.revision,
-            "operation": operation,
+            "operation": operation_id,
             "state": "accepted",
         }
-        code = common.EXIT_OK
+        exit_code = common.EXIT_OK
         if self.option("wait"):
-            code = self._wait(control, outcome.revision, result)
+            exit_code = self._wait_until_applied(
+                control, outcome.revision, result
+            )
         lines = [f"revision {outcome.revision}: {result['state']}"]
         lines += result.get("moves", [])
-        self.show(result, lines)
-        return code
+        self.print_result(result, lines)
+        return exit_code
 
-    def _wait(
+    def _wait_until_applied(
         self, control: list[str], revision: int, result: dict[str, Any]
     ) -> int:
-        """Waits for the revision to be in force and its moves to end."""
-        deadline = time.monotonic() + self._number("timeout", 3600)
+        """Waits until the revision is in force and its moves have ended."""
+        deadline = time.monotonic() + self._integer_option("timeout", 3600)
         while time.monotonic() < deadline:
-            found = remote.read(control, "in_force", str(revision))
-            if isinstance(found, dict) and found["in_force"]:
+            reply = remote.read(control, "in_force", str(revision))
+            if isinstance(reply, dict) and reply["in_force"]:
                 result["state"] = "in force everywhere"
                 break
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         else:
             result["state"] = "accepted, not yet in force everywhere"
             return common.EXIT_TIMED_OUT
         while time.monotonic() < deadline:
             ended = self._ended_moves(control, revision)
             if ended is not None:
-                result["moves"] = [common.move_line(m, row) for m, row in ended]
-                bad = [row for _, row in ended if row["state"] != "done"]
-                return common.EXIT_TAKEN_BACK if bad else common.EXIT_OK
-            time.sleep(POLL_S)
+                result["moves"] = [
+                    common.move_line(move, row) for move, row in ended
+                ]
+                reverted = [row for _, row in ended if row["state"] != "done"]
+                return common.EXIT_MOVE_REVERTED if reverted else common.EXIT_OK
+            time.sleep(POLL_INTERVAL_S)
         result["state"] += "; a move has not ended"
         return common.EXIT_TIMED_OUT
 
     def _ended_moves(
         self, control: list[str], revision: int
     ) -> list[tuple[str, dict[str, Any]]] | None:
-        found = remote.read(control, "moves")
-        if not isinstance(found, dict):
+        reply = remote.read(control, "moves")
+        if not isinstance(reply, dict):
             return None
-        own = [
+        revision_moves = [
             (move, row)
-            for move, row in found.items()
+            for move, row in reply.items()
             if row["revision"] == revision
         ]
-        live = [row for _, row in own if row["state"] in moves.LIVE]
-        return None if live else own
+        unfinished = [
+            row for _, row in revision_moves if row["state"] in moves.LIVE
+        ]
+        return None if unfinished else revision_moves
--- a/src/_arbutuswalk/cli/common.py
+++ b/src/_arbutuswalk/cli/common.py
@@ -1,4 +1,4 @@
-"""What all commands of the operators' command line share."""
+"""Exit codes, options and the base class of the operators' commands."""
 
 import json
 import os
@@ -16,51 +16,55 @@
 EXIT_BAD_INPUT = 2
 EXIT_UNREACHABLE = 3
 EXIT_CONFLICT = 4
-EXIT_TAKEN_BACK = 5
+EXIT_MOVE_REVERTED = 5
 EXIT_TIMED_OUT = 6
 
-CONTROL_VARIABLE = "ARBUTUSWALK_CONTROL"
+CONTROL_ENV_VARIABLE = "ARBUTUSWALK_CONTROL"
 CONTROL_OPTION = helpers.option(
     "control",
     "c",
     "IP:port of control processes, separated by commas;"
-    f" default: ${CONTROL_VARIABLE}",
+    f" default: ${CONTROL_ENV_VARIABLE}",
     flag=False,
 )
 JSON_OPTION = helpers.option("json", None, "print JSON")
 
 
 class Command(cleo_command.Command):
-    """What all commands share."""
+    """Base class of the commands."""
 
-    def addresses(self) -> list[str]:
-        """Returns the control processes to ask, or exits with 2."""
-        text = self.option("control") or os.environ.get(CONTROL_VARIABLE, "")
-        found = [item.strip() for item in text.split(",") if item.strip()]
-        bad = [item for item in found if not settings.is_address(item)]
-        if bad or not found:
-            what = f"{bad[0]!r} is not IP:port" if bad else "no address"
-            self.fail(
-                f"--control: {what}; give IP:port, separated by commas, or"
-                f" set {CONTROL_VARIABLE}",
+    def control_addresses(self) -> list[str]:
+        """Returns the addresses of control processes, or exits with 2."""
+        text = self.option("control") or os.environ.get(
+            CONTROL_ENV_VARIABLE, ""
+        )
+        addresses = [item.strip() for item in text.split(",") if item.strip()]
+        invalid = [item for item in addresses if not settings.is_address(item)]
+        if invalid or not addresses:
+            problem = (
+                f"{invalid[0]!r} is not IP:port" if invalid else "no address"
+            )
+            self.exit_with_error(
+                f"--control: {problem}; give IP:port separated by commas, or"
+                f" set {CONTROL_ENV_VARIABLE}",
                 EXIT_BAD_INPUT,
             )
-        return found
+        return addresses
 
-    def fail(self, text: str, code: int) -> None:
-        """Prints an error and exits with ``code``."""
-        print(text, file=sys.stderr)
-        sys.exit(code)
+    def exit_with_error(self, message: str, exit_code: int) -> None:
+        """Prints an error to standard error and exits with ``exit_code``."""
+        print(message, file=sys.stderr)
+        sys.exit(exit_code)
 
-    def checked(self, found: Any) -> Any:
-        """Returns ``found``, or exits if it is a failure."""
-        if isinstance(found, remote.Failed):
-            code = EXIT_UNREACHABLE if found.unreachable else EXIT_REFUSED
-            self.fail(found.reason, code)
-        return found
+    def result_or_exit(self, result: Any) -> Any:
+        """Returns ``result``, or exits with an error if it is a failure."""
+        if isinstance(result, remote.Failed):
+            exit_code = EXIT_UNREACHABLE if result.unreachable else EXIT_REFUSED
+            self.exit_with_error(result.reason, exit_code)
+        return result
 
-    def show(self, value: Any, lines: list[str]) -> None:
-        """Prints JSON if asked for, else lines."""
+    def print_result(self, value: Any, lines: list[str]) -> None:
+        """Prints ``value`` as JSON with ``--json``, else ``lines``."""
         if self.option("json"):
             print(json.dumps(value, indent=2))
         else:
@@ -68,7 +72,7 @@
 
 
 def move_line(move: str, row: dict[str, Any]) -> str:
-    """Returns one line that tells a version move's state and why."""
+    """Returns one line with a version move's state, reason and shares."""
     shares = ", ".join(
         f"{route} {share / 10:g}%" for route, share in row["shares"].items()
     )
--- a/src/_arbutuswalk/cli/main.py
+++ b/src/_arbutuswalk/cli/main.py
@@ -9,13 +9,13 @@
 from _arbutuswalk.base import settings
 from _arbutuswalk.cli import apply
 from _arbutuswalk.cli import common
-from _arbutuswalk.cli import platform
+from _arbutuswalk.cli import relay_commands
 from _arbutuswalk.cli import remote
 from _arbutuswalk.entry import requests
 
 
 class Status(common.Command):
-    """Shows the whole system on one page."""
+    """Shows a summary of the whole system."""
 
     name = "status"
     description = "Show revision, control group, versions and instances"
@@ -23,26 +23,28 @@
 
     def handle(self) -> int:
         """Runs the command."""
-        status = self.checked(remote.read(self.addresses(), "status"))
-        behind = ", ".join(status["behind"]) or "none"
+        summary = self.result_or_exit(
+            remote.read(self.control_addresses(), "status")
+        )
+        behind = ", ".join(summary["behind"]) or "none"
         lines = [
-            f"revision {status['revision']}, entries behind: {behind}",
-            f"leader {status['leader']}, term {status['term']},"
-            f" commit {status['commit']}",
-            f"voters {', '.join(status['voters'])}",
-            f"learners {', '.join(status['learners']) or 'none'}",
-            f"quarantined requests: {status['quarantined']}",
+            f"revision {summary['revision']}, entries behind: {behind}",
+            f"leader {summary['leader']}, term {summary['term']},"
+            f" commit {summary['commit']}",
+            f"voters {', '.join(summary['voters'])}",
+            f"learners {', '.join(summary['learners']) or 'none'}",
+            f"quarantined requests: {summary['quarantined']}",
         ]
         lines += [
             f"{name}: version {version}"
-            for name, version in status["versions"].items()
+            for name, version in summary["versions"].items()
         ]
         lines += [
             f"{name}: {row['upstream']} {row['version']} {row['state']}"
             f" in {row['domain']} on {row['instance_class']}"
-            for name, row in status["instances"].items()
+            for name, row in summary["instances"].items()
         ]
-        self.show(status, lines)
+        self.print_result(summary, lines)
         return common.EXIT_OK
 
 
@@ -55,29 +57,33 @@
 
     def handle(self) -> int:
         """Runs the command."""
-        found = self.checked(remote.read(self.addresses(), "moves"))
-        lines = [common.move_line(move, row) for move, row in found.items()]
-        self.show(found, lines or ["no moves"])
+        moves = self.result_or_exit(
+            remote.read(self.control_addresses(), "moves")
+        )
+        lines = [common.move_line(move, row) for move, row in moves.items()]
+        self.print_result(moves, lines or ["no moves"])
         return common.EXIT_OK
 
 
 class Charges(common.Command):
-    """Shows charges."""
+    """Shows charges by account."""
 
     name = "charges"
-    description = "Show who pays for what"
+    description = "Show charges by account"
     options = [common.CONTROL_OPTION, common.JSON_OPTION]
 
     def handle(self) -> int:
         """Runs the command."""
-        found = self.checked(remote.read(self.addresses(), "charges"))
+        charges = self.result_or_exit(
+            remote.read(self.control_addresses(), "charges")
+        )
         lines = [
             f"{account:40} {micro / 1_000_000:14.6f}"
-            for account, micro in sorted(found["accounts"].items())
+            for account, micro in sorted(charges["accounts"].items())
         ]
-        total = found["billed_micro"] / 1_000_000
-        lines.append(f"{'bill':40} {total:14.6f}")
-        self.show(found, lines)
+        billed = charges["billed_micro"] / 1_000_000
+        lines.append(f"{'bill':40} {billed:14.6f}")
+        self.print_result(charges, lines)
         return common.EXIT_OK
 
 
@@ -90,41 +96,45 @@
 
     def handle(self) -> int:
         """Runs the command."""
-        found = self.checked(remote.read(self.addresses(), "entries"))
+        entries = self.result_or_exit(
+            remote.read(self.control_addresses(), "entries")
+        )
         lines = [
             f"{name}: {row['state']} at {row['address']} in {row['domain']},"
             f" weight {row['weight']}"
-            for name, row in found.items()
+            for name, row in entries.items()
         ]
-        self.show(found, lines or ["no entries"])
+        self.print_result(entries, lines or ["no entries"])
         return common.EXIT_OK
 
 
 class Explain(common.Command):
-    """Explains where a request went."""
+    """Shows the history of a request."""
 
     name = "explain"
-    description = "Show why a request went where it went"
+    description = "Show the history of a request and its routing decisions"
     arguments = [helpers.argument("request", "id from X-Request-Id")]
     options = [common.CONTROL_OPTION, common.JSON_OPTION]
 
     def handle(self) -> int:
         """Runs the command."""
         request_id = self.argument("request")
-        entries = self.checked(remote.read(self.addresses(), "entries"))
+        entries = self.result_or_exit(
+            remote.read(self.control_addresses(), "entries")
+        )
         owner = requests.owner_of(request_id)
         if owner not in entries:
-            self.fail(
+            self.exit_with_error(
                 f"{request_id}: no entry {owner!r}", common.EXIT_BAD_INPUT
             )
         address = entries[owner]["link_address"]
-        found = self.checked(remote.explain(address, request_id))
-        self.show(found, found["history"])
+        explanation = self.result_or_exit(remote.explain(address, request_id))
+        self.print_result(explanation, explanation["history"])
         return common.EXIT_OK
 
 
 class Dump(common.Command):
-    """Dumps one process's state."""
+    """Prints the state of one process."""
 
     name = "dump"
     description = "Print the state of one process as JSON"
@@ -136,31 +146,35 @@
         """Runs the command."""
         address = self.argument("address")
         if not settings.is_address(address):
-            self.fail(f"{address!r}: give IP:port", common.EXIT_BAD_INPUT)
-        print(json.dumps(self.checked(remote.dump(address)), indent=2))
+            self.exit_with_error(
+                f"{address!r}: expected IP:port", common.EXIT_BAD_INPUT
+            )
+        print(json.dumps(self.result_or_exit(remote.dump(address)), indent=2))
         return common.EXIT_OK
 
 
 class Replace(common.Command):
-    """Replaces a control process."""
+    """Replaces a voter of the control group."""
 
     name = "replace"
-    description = "Replace a voter of the control group by a ready member"
-    arguments = [helpers.argument("address", "IP:port of the lost voter")]
+    description = "Replace a voter of the control group with a ready member"
+    arguments = [helpers.argument("address", "IP:port of the voter to replace")]
     options = [common.CONTROL_OPTION, common.JSON_OPTION]
 
     def handle(self) -> int:
         """Runs the command."""
         address = self.argument("address")
-        found = self.checked(remote.read(self.addresses(), "replace", address))
-        self.show(found, [found["note"]])
-        return common.EXIT_OK if found["ordered"] else common.EXIT_REFUSED
+        reply = self.result_or_exit(
+            remote.read(self.control_addresses(), "replace", address)
+        )
+        self.print_result(reply, [reply["note"]])
+        return common.EXIT_OK if reply["ordered"] else common.EXIT_REFUSED
 
 
-def make() -> application.Application:
-    """Returns the application with all commands."""
-    made = application.Application("arbutuswalk", "0.1.0")
-    for kind in (
+def make_application() -> application.Application:
+    """Returns the command-line application with all commands."""
+    app = application.Application("arbutuswalk", "0.1.0")
+    for command_class in (
         apply.Apply,
         Status,
         Moves,
@@ -169,12 +183,12 @@
         Explain,
         Dump,
         Replace,
-        *platform.COMMANDS,
+        *relay_commands.COMMANDS,
     ):
-        made.add(kind())
-    return made
+        app.add(command_class())
+    return app
 
 
 def main() -> None:
-    """Runs the binary."""
-    sys.exit(make().run())
+    """Runs ``arbutuswalk``."""
+    sys.exit(make_application().run())
--- a/src/_arbutuswalk/cli/platform.py
+++ b/src/_arbutuswalk/cli/relay_commands.py
@@ -1,11 +1,11 @@
-"""Commands that show what relayed requests go by."""
+"""Commands that show the routes, endpoints, rollouts and usage of relaying."""
 
 from _arbutuswalk.cli import common
 from _arbutuswalk.cli import remote
 
 
 class Routes(common.Command):
-    """Shows the configuration of routes in force."""
+    """Shows the routes in force."""
 
     name = "routes"
     description = "Show the routes in force, their upstreams and bounds"
@@ -13,20 +13,22 @@
 
     def handle(self) -> int:
         """Runs the command."""
-        found = self.checked(remote.read(self.addresses(), "routes"))
-        lines = [f"version {found['version']}"]
+        config = self.result_or_exit(
+            remote.read(self.control_addresses(), "routes")
+        )
+        lines = [f"version {config['version']}"]
         lines += [
             f"{row['name']}: {row['host']}{row['prefix']} {row['kind']}"
             f" to {row['targets']}, {row['timeout_s']:g} s,"
             f" {row['max_attempts']} attempts"
-            for row in found["routes"]
+            for row in config["routes"]
         ]
-        self.show(found, lines)
+        self.print_result(config, lines)
         return common.EXIT_OK
 
 
 class Endpoints(common.Command):
-    """Shows the endpoints that announced themselves."""
+    """Shows the endpoints that send heartbeats."""
 
     name = "endpoints"
     description = "Show endpoints, their states, loads and ages"
@@ -34,20 +36,22 @@
 
     def handle(self) -> int:
         """Runs the command."""
-        found = self.checked(remote.read(self.addresses(), "endpoints"))
+        endpoints = self.result_or_exit(
+            remote.read(self.control_addresses(), "endpoints")
+        )
         lines = [
             f"{name}: {row['upstream']} {row['version']} {row['state']}"
             f" at {row['address']} in {row['domain']},"
             f" {row['running']} of {row['slots']} running,"
-            f" heard {row['age_s']:.1f} s ago"
-            for name, row in sorted(found.items())
+            f" last heartbeat {row['age_s']:.1f} s ago"
+            for name, row in sorted(endpoints.items())
         ]
-        self.show(found, lines or ["no endpoints"])
+        self.print_result(endpoints, lines or ["no endpoints"])
         return common.EXIT_OK
 
 
 class Rollouts(common.Command):
-    """Shows rollouts."""
+    """Shows rollouts of upstream versions."""
 
     name = "rollouts"
     description = "Show rollouts, their shares and reasons"
@@ -55,18 +59,20 @@
 
     def handle(self) -> int:
         """Runs the command."""
-        found = self.checked(remote.read(self.addresses(), "rollouts"))
+        rollouts = self.result_or_exit(
+            remote.read(self.control_addresses(), "rollouts")
+        )
         lines = [
             f"{upstream}: to {row['target']}: {row['state']} at"
             f" {row['share'] / 10:g}% ({row['reason']})"
-            for upstream, row in found.items()
+            for upstream, row in rollouts.items()
         ]
-        self.show(found, lines or ["no rollouts"])
+        self.print_result(rollouts, lines or ["no rollouts"])
         return common.EXIT_OK
 
 
 class Usage(common.Command):
-    """Shows settled usage."""
+    """Shows settled usage by window and workspace."""
 
     name = "usage"
     description = "Show settled windows of usage by workspace"
@@ -74,13 +80,17 @@
 
     def handle(self) -> int:
         """Runs the command."""
-        found = self.checked(remote.read(self.addresses(), "usage"))
+        windows = self.result_or_exit(
+            remote.read(self.control_addresses(), "usage")
+        )
         lines = [
             f"window {window}: "
-            + ", ".join(f"{name} {n}" for name, n in sorted(counts.items()))
-            for window, counts in sorted(found.items())
+            + ", ".join(
+                f"{name} {count}" for name, count in sorted(counts.items())
+            )
+            for window, counts in sorted(windows.items())
         ]
-        self.show(found, lines or ["no windows"])
+        self.print_result(windows, lines or ["no windows"])
         return common.EXIT_OK
 
 
--- a/src/_arbutuswalk/cli/remote.py
+++ b/src/_arbutuswalk/cli/remote.py
@@ -1,4 +1,4 @@
-"""What the command line asks of control and entry processes."""
+"""Calls of the command line to control and entry processes."""
 
 import asyncio
 import dataclasses
@@ -11,54 +11,54 @@
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-TIMEOUT_S = 10.0
-POLL_S = 0.2
+CALL_TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 0.2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Failed:
-    """The question got no answer, or was refused."""
+    """A call that got no reply, or was refused."""
 
     reason: str
     unreachable: bool
 
 
 def read(control: list[str], query: str, argument: str = "") -> Any | Failed:
-    """Reads current state from the control group."""
+    """Reads the result of a query from the control group."""
     return asyncio.run(_read(control, query, argument))
 
 
 async def _read(control: list[str], query: str, argument: str) -> Any:
     client = control_client.ControlClient(addresses=control)
     try:
-        found = await client.read(query, argument, timeout_s=TIMEOUT_S)
+        result = await client.read(query, argument, timeout_s=CALL_TIMEOUT_S)
     finally:
         await client.stop()
-    if isinstance(found, control_client.Unreachable):
-        return Failed(reason=found.reason, unreachable=True)
-    if isinstance(found, control_client.Rejected):
-        return Failed(reason=found.reason, unreachable=False)
-    return found
+    if isinstance(result, control_client.Unreachable):
+        return Failed(reason=result.reason, unreachable=True)
+    if isinstance(result, control_client.Rejected):
+        return Failed(reason=result.reason, unreachable=False)
+    return result
 
 
 def submit(
     control: list[str], command: commands.Command
 ) -> outcomes.Outcome | Failed:
-    """Commits a command."""
+    """Submits a command to the control group and returns its outcome."""
     return asyncio.run(_submit(control, command))
 
 
 async def _submit(control: list[str], command: commands.Command) -> Any:
     client = control_client.ControlClient(addresses=control)
     try:
-        found = await client.submit(command, timeout_s=TIMEOUT_S)
+        result = await client.submit(command, timeout_s=CALL_TIMEOUT_S)
     finally:
         await client.stop()
-    if isinstance(found, control_client.Unreachable):
-        return Failed(reason=found.reason, unreachable=True)
-    if isinstance(found, control_client.Rejected):
-        return Failed(reason=found.reason, unreachable=False)
-    return found
+    if isinstance(result, control_client.Unreachable):
+        return Failed(reason=result.reason, unreachable=True)
+    if isinstance(result, control_client.Rejected):
+        return Failed(reason=result.reason, unreachable=False)
+    return result
 
 
 def dump(address: str) -> dict[str, Any] | Failed:
@@ -70,7 +70,7 @@
 
 
 def explain(address: str, request_id: str) -> dict[str, Any] | Failed:
-    """Asks an entry why a request went where it went."""
+    """Returns the history of a request from the entry that owns it."""
     message = ttypes.Read(query="explain", argument=request_id)
     reply = asyncio.run(_call(address, message))
     if not isinstance(reply, ttypes.ReadReply):
@@ -83,6 +83,6 @@
 async def _call(address: str, message: object) -> object:
     connection = link.Link(address=address)
     try:
-        return await connection.call(message, timeout_s=TIMEOUT_S)
+        return await connection.call(message, timeout_s=CALL_TIMEOUT_S)
     finally:
         await connection.stop()
