--- a/testing/test_cli.py
+++ b/testing/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line: exit codes, errors, differences."""
+"""The operators' command line: exit codes, errors and inventory differences."""
 
 import pathlib
 import subprocess
@@ -62,7 +62,7 @@
     @pytest.mark.parametrize(
         "binary", ["arbutuswalk-control", "arbutuswalk-entry"]
     )
-    def test_daemons_refuse_bad_settings(self, tmp_path, binary):
+    def test_processes_refuse_invalid_settings(self, tmp_path, binary):
         path = tmp_path / "settings.toml"
         path.write_text("speed = 3\n")
         completed = run_command(path, "--check", program=binary)
@@ -72,18 +72,18 @@
 
 
 class TestDifferences:
-    def test_changes_are_named_by_path(self):
+    def test_change_is_reported_by_path(self):
         new = {**worlds.INVENTORY, "domains": ["d1"]}
         lines = inventory_diff.diff_inventories(worlds.INVENTORY, new)
         assert lines == ["~ domains: ['d1', 'd2'] -> ['d1']"]
 
-    def test_named_rows_are_compared_by_name(self):
+    def test_rows_are_matched_by_name(self):
         upstreams = [dict(u) for u in worlds.INVENTORY["upstreams"]]
         upstreams[0]["version"] = "v2"
         new = {**worlds.INVENTORY, "upstreams": upstreams[::-1]}
         lines = inventory_diff.diff_inventories(worlds.INVENTORY, new)
         assert lines == ["~ upstreams.model.version: 'v1' -> 'v2'"]
 
-    def test_first_inventory_is_all_new(self):
+    def test_first_inventory_is_reported_as_added(self):
         lines = inventory_diff.diff_inventories(None, worlds.INVENTORY)
         assert all(line.startswith("+ ") for line in lines)
--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -1,4 +1,4 @@
-"""The front for callers, over real connections."""
+"""Callers' requests, drain and readiness of an entry, over real connections."""
 
 import asyncio
 import platform as standard_platform
@@ -16,14 +16,14 @@
 from _arbutuswalk.relay import intake
 from _arbutuswalk.state import routeconfig
 
-GOOD = (
+VALID_REQUEST = (
     b"POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: attempt-1\r\n"
     b"X-Key: key\r\nX-Deadline-Ms: 1000\r\nContent-Length: 4\r\n\r\nbody"
 )
 
 
-class Front:
-    """A listener with a relay and one endpoint behind it."""
+class RunningEntry:
+    """A caller listener with its relay and one scripted endpoint."""
 
     def __init__(self, config=None, steps=()):
         self.relay = relays.make_relay(config)
@@ -47,7 +47,7 @@
     async def connect(self):
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, data, wait_s=10.0):
+    async def send_request(self, data, wait_s=10.0):
         reader, writer = await self.connect()
         writer.write(data)
         head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), wait_s)
@@ -56,52 +56,59 @@
 
 
 class TestRequests:
-    async def test_a_good_request_is_answered_and_the_connection_kept(self):
-        async with Front() as front:
-            reader, writer = await front.connect()
+    async def test_valid_request_is_answered_and_connection_is_kept_alive(self):
+        async with RunningEntry() as running_entry:
+            reader, writer = await running_entry.connect()
             for _ in range(2):
-                writer.write(GOOD)
+                writer.write(VALID_REQUEST)
                 head = await reader.readuntil(b"\r\n\r\n")
                 assert head.startswith(b"HTTP/1.1 200")
                 assert await reader.readexactly(2) == b"ok"
             writer.close()
-            assert front.endpoint.bodies == [b"body", b"body"]
-            assert "x-key" not in front.endpoint.heads[0].lower()
+            assert running_entry.endpoint.bodies == [b"body", b"body"]
+            assert "x-key" not in running_entry.endpoint.heads[0].lower()
 
     @pytest.mark.parametrize(
         ("data", "status"),
         [
-            (GOOD.replace(b"X-Key: key", b"X-Key: other"), 401),
-            (GOOD.replace(b"X-Key: key\r\n", b""), 401),
-            (GOOD.replace(b"/a/x", b"/b/x"), 404),
-            (GOOD.replace(b"h.example", b"other.example"), 404),
-            (GOOD.replace(b"X-Attempt-Id: attempt-1\r\n", b""), 400),
-            (GOOD.replace(b"X-Key: key", b"X-Key: key\r\nX-Key: key"), 400),
+            (VALID_REQUEST.replace(b"X-Key: key", b"X-Key: other"), 401),
+            (VALID_REQUEST.replace(b"X-Key: key\r\n", b""), 401),
+            (VALID_REQUEST.replace(b"/a/x", b"/b/x"), 404),
+            (VALID_REQUEST.replace(b"h.example", b"other.example"), 404),
+            (VALID_REQUEST.replace(b"X-Attempt-Id: attempt-1\r\n", b""), 400),
+            (
+                VALID_REQUEST.replace(
+                    b"X-Key: key", b"X-Key: key\r\nX-Key: key"
+                ),
+                400,
+            ),
         ],
         ids=["key", "no key", "path", "host", "no id", "two keys"],
     )
-    async def test_what_is_not_allowed_never_reaches_an_endpoint(
+    async def test_rejected_request_does_not_reach_an_endpoint(
         self, data, status
     ):
-        async with Front() as front:
-            assert (await front.ask(data))[0] == status
-            assert not front.endpoint.heads
+        async with RunningEntry() as running_entry:
+            assert (await running_entry.send_request(data))[0] == status
+            assert not running_entry.endpoint.heads
 
     @pytest.mark.parametrize(
         "data",
         [
-            GOOD.replace(
+            VALID_REQUEST.replace(
                 b"Content-Length: 4",
                 b"Content-Length: 4\r\nTransfer-Encoding: chunked",
             ),
-            GOOD.replace(
+            VALID_REQUEST.replace(
                 b"Content-Length: 4", b"Content-Length: 4\r\nContent-Length: 9"
             ),
-            GOOD.replace(b"X-Key: key", b"X-Key: key\r\n folded: 1"),
-            GOOD.replace(b"X-Key: key", b"X-Odd: a\x00b\r\nX-Key: key"),
-            GOOD.replace(b"X-Key: key", b"X Odd: 1\r\nX-Key: key"),
-            GOOD.replace(b"Content-Length: 4", b"Content-Length: -4"),
-            GOOD.replace(b"/a/x", b"/a/\x01x"),
+            VALID_REQUEST.replace(b"X-Key: key", b"X-Key: key\r\n folded: 1"),
+            VALID_REQUEST.replace(
+                b"X-Key: key", b"X-Odd: a\x00b\r\nX-Key: key"
+            ),
+            VALID_REQUEST.replace(b"X-Key: key", b"X Odd: 1\r\nX-Key: key"),
+            VALID_REQUEST.replace(b"Content-Length: 4", b"Content-Length: -4"),
+            VALID_REQUEST.replace(b"/a/x", b"/a/\x01x"),
             b"garbage\r\n\r\n",
         ],
         ids=[
@@ -115,51 +122,60 @@
             "garbage",
         ],
     )
-    async def test_malformed_requests_never_reach_an_endpoint(self, data):
-        async with Front() as front:
-            status, _ = await front.ask(data)
+    async def test_malformed_request_does_not_reach_an_endpoint(self, data):
+        async with RunningEntry() as running_entry:
+            status, _ = await running_entry.send_request(data)
             assert status == 400
-            assert not front.endpoint.heads
+            assert not running_entry.endpoint.heads
 
-    async def test_without_a_configuration_it_says_503_and_never_404(self):
-        async with Front() as front:
-            front.relay.table = None
-            status, head = await front.ask(GOOD)
+    async def test_request_without_a_configuration_gets_503_instead_of_404(
+        self,
+    ):
+        async with RunningEntry() as running_entry:
+            running_entry.relay.table = None
+            status, head = await running_entry.send_request(VALID_REQUEST)
             assert status == 503
             assert b"retry-after" in head
 
-    async def test_a_new_process_waits_for_its_configuration(self):
-        async with Front() as front:
-            table, front.relay.table = front.relay.table, None
-            front.relay.started_at = front.relay.now()
-            asking = asyncio.ensure_future(front.ask(GOOD))
+    async def test_request_to_a_new_process_waits_for_the_configuration(self):
+        async with RunningEntry() as running_entry:
+            table, running_entry.relay.table = running_entry.relay.table, None
+            running_entry.relay.started_at = running_entry.relay.now()
+            response_task = asyncio.ensure_future(
+                running_entry.send_request(VALID_REQUEST)
+            )
             await asyncio.sleep(0.05)
-            front.relay.table = table
-            front.relay.tell()
-            assert (await asking)[0] == 200
+            running_entry.relay.table = table
+            running_entry.relay.tell()
+            assert (await response_task)[0] == 200
 
-    async def test_a_large_body_is_refused(self):
-        async with Front() as front:
+    async def test_oversized_body_is_refused(self):
+        async with RunningEntry() as running_entry:
             body = b"x" * 100_001
-            head = GOOD.partition(b"\r\n\r\n")[0].replace(
+            head = VALID_REQUEST.partition(b"\r\n\r\n")[0].replace(
                 b"Content-Length: 4", b"Content-Length: 100001"
             )
-            status, _ = await front.ask(head + b"\r\n\r\n" + body)
+            status, _ = await running_entry.send_request(
+                head + b"\r\n\r\n" + body
+            )
             assert status == 413
 
-    async def test_a_chunked_body_reaches_the_endpoint_whole(self):
-        async with Front() as front:
-            data = GOOD.partition(b"\r\n\r\n")[0].replace(
+    async def test_chunked_body_reaches_the_endpoint_complete(self):
+        async with RunningEntry() as running_entry:
+            data = VALID_REQUEST.partition(b"\r\n\r\n")[0].replace(
                 b"Content-Length: 4", b"Transfer-Encoding: chunked"
             )
             data += b"\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n0\r\n\r\n"
-            assert (await front.ask(data))[0] == 200
-            assert front.endpoint.bodies == [b"body"]
+            assert (await running_entry.send_request(data))[0] == 200
+            assert running_entry.endpoint.bodies == [b"body"]
 
-    async def test_a_quota_refusal_names_when_to_return(self):
+    async def test_quota_refusal_has_a_retry_after_header(self):
         config = relays.make_config(rate_per_s=1.0, burst=10.0)
-        async with Front(config) as front:
-            statuses = [(await front.ask(GOOD)) for _ in range(3)]
+        async with RunningEntry(config) as running_entry:
+            statuses = [
+                (await running_entry.send_request(VALID_REQUEST))
+                for _ in range(3)
+            ]
             assert statuses[0][0] == 200
             status, head = statuses[-1]
             assert status == 429
@@ -167,31 +183,35 @@
 
 
 class TestCallers:
-    async def test_one_that_closes_its_connection_stops_the_work(self):
+    async def test_caller_disconnect_cancels_the_endpoint_request(self):
         route = relays.make_route(kind=routeconfig.STREAM, timeout_s=30.0)
         steps = [relays.stream((1, "a"), end=False)]
-        async with Front(relays.make_config(route), steps) as front:
-            reader, writer = await front.connect()
-            writer.write(GOOD.replace(b": 1000", b": 30000"))
+        async with RunningEntry(
+            relays.make_config(route), steps
+        ) as running_entry:
+            reader, writer = await running_entry.connect()
+            writer.write(VALID_REQUEST.replace(b": 1000", b": 30000"))
             await reader.readuntil(b"data: a")
             writer.close()
-            await asyncio.wait_for(front.endpoint.lost.wait(), 10)
+            await asyncio.wait_for(running_entry.endpoint.lost.wait(), 10)
 
-    async def test_a_draining_entry_announces_the_close(self):
-        async with Front() as front:
-            front.relay.draining = True
-            status, head = await front.ask(GOOD)
+    async def test_draining_entry_sends_connection_close(self):
+        async with RunningEntry() as running_entry:
+            running_entry.relay.draining = True
+            status, head = await running_entry.send_request(VALID_REQUEST)
             assert status == 200
             assert b"connection: close" in head
 
-    async def test_a_broken_answer_does_not_look_complete(self):
+    async def test_broken_off_response_lacks_the_final_chunk(self):
         route = relays.make_route(
             kind=routeconfig.STREAM, max_attempts=1, timeout_s=3.0
         )
         steps = [relays.stream((1, "a"), end=False, close=True)]
-        async with Front(relays.make_config(route), steps) as front:
-            reader, writer = await front.connect()
-            writer.write(GOOD)
+        async with RunningEntry(
+            relays.make_config(route), steps
+        ) as running_entry:
+            reader, writer = await running_entry.connect()
+            writer.write(VALID_REQUEST)
             data = await reader.read()
             assert b"data: a" in data
             assert not data.endswith(b"0\r\n\r\n")
@@ -199,60 +219,74 @@
 
 
 class TestDrain:
-    """After the time for which callers keep an address, here none at all."""
+    """Drain of an entry, with ``LINGER_S`` set to zero."""
 
     @pytest.fixture(autouse=True)
     def no_linger(self, monkeypatch):
         monkeypatch.setattr(entry, "LINGER_S", 0.0)
 
-    def drain(self, front):
+    def start_drain(self, running_entry):
         return asyncio.ensure_future(
-            entry._drain(front.relay, front.listener, grace_s=60.0)
+            entry._drain(
+                running_entry.relay, running_entry.listener, grace_s=60.0
+            )
         )
 
-    async def test_it_takes_no_new_connections_while_it_serves_out(self):
-        """Found by hunts: one taken 4.2 s after the signal was cut later."""
+    async def test_draining_entry_accepts_no_connections_while_a_request_runs(
+        self,
+    ):
+        """An entry that still served a stream took a new connection.
+
+        It came 4.2 s after the signal, and its response was cut off at the end
+        of the grace period.
+        """
         release = asyncio.Event()
 
-        async def step(head, writer):
+        async def delayed_answer(head, writer):
             await release.wait()
             await relays.answer()(head, writer)
 
-        async def refuses():
+        async def connection_is_refused():
             try:
-                _, writer = await front.connect()
+                _, writer = await running_entry.connect()
             except ConnectionRefusedError:
                 return True
             writer.close()
             return False
 
         config = relays.make_config(relays.make_route(timeout_s=60.0))
-        async with Front(config, [step]) as front:
-            data = GOOD.replace(b"X-Deadline-Ms: 1000", b"X-Deadline-Ms: 60000")
-            asking = asyncio.ensure_future(front.ask(data))
-            while not front.endpoint.heads:
+        async with RunningEntry(config, [delayed_answer]) as running_entry:
+            data = VALID_REQUEST.replace(
+                b"X-Deadline-Ms: 1000", b"X-Deadline-Ms: 60000"
+            )
+            response_task = asyncio.ensure_future(
+                running_entry.send_request(data)
+            )
+            while not running_entry.endpoint.heads:
                 await asyncio.sleep(0.01)
-            draining = self.drain(front)
-            await processes.until(refuses, tries=50, pause_s=0.02)
+            draining = self.start_drain(running_entry)
+            await processes.until(connection_is_refused, tries=50, pause_s=0.02)
             assert not draining.done()
             release.set()
-            status, head = await asking
+            status, head = await response_task
             assert status == 200
             assert b"connection: close" in head
             await asyncio.wait_for(draining, 10)
 
-    async def test_a_request_that_is_being_read_is_still_answered(self):
-        """Found by hunts: one that came as the process ended was cut."""
-        async with Front() as front:
-            reader, writer = await front.connect()
-            writer.write(GOOD[:-2])
-            while not front.listener.state.connections:
+    async def test_request_still_being_read_is_answered_before_the_drain_ends(
+        self,
+    ):
+        """A request that arrived while the process ended was cut off."""
+        async with RunningEntry() as running_entry:
+            reader, writer = await running_entry.connect()
+            writer.write(VALID_REQUEST[:-2])
+            while not running_entry.listener.server_state.connections:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.05)
-            draining = self.drain(front)
+            draining = self.start_drain(running_entry)
             done, _ = await asyncio.wait({draining}, timeout=0.3)
             assert not done
-            writer.write(GOOD[-2:])
+            writer.write(VALID_REQUEST[-2:])
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200")
             assert await reader.read() == b"ok"
@@ -265,7 +299,7 @@
         ("known", "draining", "status"),
         [(True, False, 200), (False, False, 503), (True, True, 503)],
     )
-    async def test_it_needs_a_configuration_and_no_drain(
+    async def test_readiness_requires_a_configuration_and_no_drain(
         self, known, draining, status
     ):
         relay = relays.make_relay()
@@ -277,32 +311,32 @@
         async def send(message):
             sent.append(message)
 
-        app = probes.readiness(relay)
+        app = probes.make_readiness_app(relay)
         await app({"path": "/v1/readiness"}, None, send)
         assert sent[0]["status"] == status
 
 
-class TestIntake:
-    def test_a_workspaces_priority_goes_before_the_routes(self):
+class TestAdmission:
+    def test_workspace_priority_overrides_route_priority(self):
         config = relays.make_config(priority=0)
         relay = relays.make_relay(config)
         assert relays.make_request(relay).priority == 0
         plain = relays.make_relay()
         assert relays.make_request(plain).priority == 2
 
-    def test_tokens_are_what_a_quota_counts(self):
+    def test_quota_cost_is_the_number_of_tokens(self):
         relay = relays.make_relay()
         assert intake.cost(relays.make_request(relay)) == 10
 
 
-class TestNames:
-    def test_the_standard_module_is_not_hidden(self):
+class TestImports:
+    def test_platform_folder_does_not_shadow_the_standard_module(self):
         assert standard_platform.python_version()
         code = "import platform; print(platform.system())"
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", code],
             capture_output=True,
             check=True,
             text=True,
         )
-        assert done.stdout.strip() == standard_platform.system()
+        assert completed.stdout.strip() == standard_platform.system()
--- a/testing/test_platform_messages.py
+++ b/testing/test_platform_messages.py
@@ -1,4 +1,4 @@
-"""The platform's messages: every field missing, of another type, or huge."""
+"""Decoding of the platform's messages with missing, mistyped or huge fields."""
 
 import json
 
@@ -95,12 +95,12 @@
 )
 
 
-def encode(said):
-    return json.dumps(said).encode()
+def encode(message):
+    return json.dumps(message).encode()
 
 
 class TestHeartbeat:
-    def test_a_heartbeat_becomes_an_endpoint(self):
+    def test_heartbeat_is_decoded_into_an_endpoint(self):
         assert announcements.decode_heartbeat(
             "i-1", encode(BEAT)
         ) == directory.Endpoint(
@@ -117,21 +117,21 @@
             cold_s=1.5,
         )
 
-    def test_draining_is_leaving(self):
-        said = {**BEAT, "state": "draining", "spot_instances": True}
-        found = announcements.decode_heartbeat("i-1", encode(said))
-        assert found.state == directory.LEAVING
-        assert found.reclaimable
+    def test_draining_state_is_decoded_as_leaving(self):
+        heartbeat = {**BEAT, "state": "draining", "spot_instances": True}
+        decoded = announcements.decode_heartbeat("i-1", encode(heartbeat))
+        assert decoded.state == directory.LEAVING
+        assert decoded.reclaimable
 
     @pytest.mark.parametrize(
         "name",
         [name for name in BEAT if name != "cold_remaining_ms"],
     )
-    def test_a_missing_field_is_named(self, name):
-        said = {key: value for key, value in BEAT.items() if key != name}
-        found = announcements.decode_heartbeat("i-1", encode(said))
-        assert isinstance(found, str)
-        assert found.startswith(f"{name}:")
+    def test_missing_field_is_named(self, name):
+        incomplete = {key: value for key, value in BEAT.items() if key != name}
+        decoded = announcements.decode_heartbeat("i-1", encode(incomplete))
+        assert isinstance(decoded, str)
+        assert decoded.startswith(f"{name}:")
 
     @hypothesis.given(name=strategies.sampled_from(sorted(BEAT)), value=ODD)
     def test_no_value_breaks_the_decoder(self, name, value):
@@ -145,14 +145,14 @@
         announcements.decode_heartbeat("i-1", body)
         announcements.decode_deregistration(body)
 
-    def test_nesting_without_end_is_unreadable(self):
+    def test_deep_nesting_is_rejected(self):
         body = b"[" * 100_000
         assert isinstance(announcements.decode_heartbeat("i", body), str)
         assert isinstance(operators.decode_config(body), str)
 
 
 class TestConfig:
-    def test_a_configuration_is_decoded_into_the_products_words(self):
+    def test_configuration_is_decoded_into_route_config(self):
         config = operators.decode_config(encode(CONFIG))
         assert routeconfig.check(config) == []
         first, second = config.routes
@@ -179,16 +179,16 @@
             (("tenants", 0), ["name"]),
         ],
     )
-    def test_a_missing_field_is_named(self, where, names):
+    def test_missing_field_is_named(self, where, names):
         for name in names:
-            said = json.loads(json.dumps(CONFIG))
-            inner = said
-            for step in where:
-                inner = inner[step]
-            del inner[name]
-            found = operators.decode_config(encode(said))
-            assert isinstance(found, str)
-            assert found.startswith(f"{name}:")
+            incomplete = json.loads(json.dumps(CONFIG))
+            table = incomplete
+            for key in where:
+                table = table[key]
+            del table[name]
+            decoded = operators.decode_config(encode(incomplete))
+            assert isinstance(decoded, str)
+            assert decoded.startswith(f"{name}:")
 
     @hypothesis.given(
         table=strategies.sampled_from(["routes", "services", "tenants"]),
@@ -203,16 +203,16 @@
         if isinstance(found, routeconfig.RouteConfig):
             routeconfig.check(found)
 
-    def test_one_that_is_cut_short_is_unreadable(self):
+    def test_truncated_configuration_is_rejected(self):
         body = encode(CONFIG)
         for size in range(0, len(body), 97):
             assert isinstance(operators.decode_config(body[:size]), str)
 
 
 class TestRollout:
-    def test_seconds_become_milliseconds(self):
-        said = {"service": "s", "target": "v2", "duration_s": 12}
-        assert operators.decode_rollout(encode(said)) == operators.Rollout(
+    def test_duration_is_converted_to_milliseconds(self):
+        body = {"service": "s", "target": "v2", "duration_s": 12}
+        assert operators.decode_rollout(encode(body)) == operators.Rollout(
             "s", "v2", 12000
         )
 
@@ -226,8 +226,8 @@
 
 
 class TestHeaders:
-    def test_what_only_the_system_may_set_is_dropped(self):
-        sent = [
+    def test_hop_by_hop_and_reserved_headers_are_dropped(self):
+        received = [
             (b"host", b"h"),
             (b"x-attempt-id", b"a"),
             (b"x-tenant", b"forged"),
@@ -244,7 +244,7 @@
             (b"transfer-encoding", b"chunked"),
             (b"x-model-name", b"m"),
         ]
-        assert headers.to_pass_on(sent) == [
+        assert headers.forwarded_request_headers(received) == [
             (b"host", b"h"),
             (b"x-attempt-id", b"a"),
             (b"x-model-name", b"m"),
@@ -261,12 +261,12 @@
             (421, [], False),
         ],
     )
-    def test_only_a_marked_answer_says_that_it_has_not_run(
+    def test_only_a_marked_response_means_not_executed(
         self, status, extra, ran
     ):
-        assert headers.read_answer(status, extra).ran == ran
+        assert headers.interpret_response(status, extra).ran == ran
 
-    def test_parts_of_a_prompt_are_read(self):
+    def test_prompt_parts_are_parsed_and_invalid_ones_skipped(self):
         prompt = headers.read_prompt(
             [
                 (b"x-model-name", b"m"),
--- a/testing/test_settings.py
+++ b/testing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and inventories: every problem names key, value and the fix."""
+"""Validation of settings, inventories and workloads."""
 
 import copy
 import pathlib
@@ -24,15 +24,17 @@
 """
 
 
-def write(tmp_path, text):
+def write_settings(tmp_path, text):
     path = tmp_path / "settings.toml"
     path.write_text(text)
     return str(path)
 
 
 class TestSettings:
-    def test_good_file(self, tmp_path):
-        values = settings.load(write(tmp_path, ENTRY), entry_main.FIELDS)
+    def test_valid_file(self, tmp_path):
+        values = settings.load(
+            write_settings(tmp_path, ENTRY), entry_main.FIELDS
+        )
         assert values["gap_s"] == 2.0
 
     @pytest.mark.parametrize(
@@ -45,24 +47,26 @@
         ],
     )
     def test_bad_value_is_named(self, tmp_path, line, named):
-        path = write(tmp_path, ENTRY + line)
-        bad = settings.load(path, entry_main.FIELDS)
-        assert isinstance(bad, settings.BadSettings)
-        assert path in bad.problems[0]
-        assert named in bad.problems[0]
-
-    def test_all_problems_are_told_at_once(self, tmp_path):
-        path = write(tmp_path, 'address = "nowhere"\nx = 1')
-        bad = settings.load(path, control_main.FIELDS)
-        assert len(bad.problems) >= 4
-
-    def test_not_toml(self, tmp_path):
-        bad = settings.load(write(tmp_path, "= ="), entry_main.FIELDS)
-        assert "not TOML" in bad.problems[0]
-
-    def test_no_file(self, tmp_path):
-        bad = settings.load(str(tmp_path / "none"), entry_main.FIELDS)
-        assert isinstance(bad, settings.BadSettings)
+        path = write_settings(tmp_path, ENTRY + line)
+        result = settings.load(path, entry_main.FIELDS)
+        assert isinstance(result, settings.BadSettings)
+        assert path in result.problems[0]
+        assert named in result.problems[0]
+
+    def test_all_problems_are_reported(self, tmp_path):
+        path = write_settings(tmp_path, 'address = "nowhere"\nx = 1')
+        result = settings.load(path, control_main.FIELDS)
+        assert len(result.problems) >= 4
+
+    def test_invalid_toml(self, tmp_path):
+        result = settings.load(
+            write_settings(tmp_path, "= ="), entry_main.FIELDS
+        )
+        assert "not TOML" in result.problems[0]
+
+    def test_missing_file(self, tmp_path):
+        result = settings.load(str(tmp_path / "none"), entry_main.FIELDS)
+        assert isinstance(result, settings.BadSettings)
 
     @pytest.mark.parametrize(
         "address",
@@ -79,18 +83,18 @@
 
 class TestInventory:
     @pytest.mark.parametrize("name", EXAMPLES)
-    def test_examples_are_good(self, name):
+    def test_examples_are_valid(self, name):
         checked = inventory.check(load_example(name), where=name)
         assert not isinstance(checked, settings.BadSettings)
         assert len(checked["workspaces"]) == 5
 
     @pytest.mark.parametrize("name", EXAMPLES)
-    def test_a_checked_inventory_checks_again(self, name):
-        once = inventory.check(load_example(name), where=name)
-        assert inventory.check(once, where=name) == once
+    def test_validated_inventory_validates_unchanged(self, name):
+        validated = inventory.check(load_example(name), where=name)
+        assert inventory.check(validated, where=name) == validated
 
     @pytest.mark.parametrize("name", EXAMPLES)
-    def test_example_workloads_are_good(self, name):
+    def test_example_workloads_are_valid(self, name):
         items = workload.load(str(ROOT / "examples" / name / "workload.jsonl"))
         assert len(items) > 200
 
@@ -131,13 +135,13 @@
             ),
         ],
     )
-    def test_bad_inventory_is_explained(self, change, named):
+    def test_problem_of_an_invalid_inventory_is_named(self, change, named):
         raw = copy.deepcopy(load_example("restwaarde"))
         change(raw)
-        bad = inventory.check(raw, where="file.toml")
-        assert isinstance(bad, settings.BadSettings)
-        assert any(named in problem for problem in bad.problems)
-        assert all(p.startswith("file.toml") for p in bad.problems)
+        result = inventory.check(raw, where="file.toml")
+        assert isinstance(result, settings.BadSettings)
+        assert any(named in problem for problem in result.problems)
+        assert all(p.startswith("file.toml") for p in result.problems)
 
     @hypothesis.given(
         st.recursive(
@@ -176,7 +180,7 @@
     def test_problems_name_the_line(self, tmp_path):
         path = tmp_path / "w.jsonl"
         path.write_text('{"at_ms": 1}\nnot json\n[]\n')
-        bad = workload.load(str(path))
-        assert isinstance(bad, workload.BadWorkload)
-        assert any(f"{path}:2" in problem for problem in bad.problems)
-        assert any(f"{path}:3" in problem for problem in bad.problems)
+        result = workload.load(str(path))
+        assert isinstance(result, workload.BadWorkload)
+        assert any(f"{path}:2" in problem for problem in result.problems)
+        assert any(f"{path}:3" in problem for problem in result.problems)
