--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target works from a path that contains spaces.
+# All targets work in a folder whose path contains spaces.
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
