--- a/src/_arbutuswalk/base/settings.py
+++ b/src/_arbutuswalk/base/settings.py
@@ -40,12 +40,12 @@
     problems: tuple[str, ...]
 
 
-def is_text(value: object) -> bool:
+def is_non_empty_string(value: object) -> bool:
     """Returns whether ``value`` is a non-empty string."""
     return isinstance(value, str) and bool(value)
 
 
-def is_flag(value: object) -> bool:
+def is_bool(value: object) -> bool:
     """Returns whether ``value`` is a boolean."""
     return isinstance(value, bool)
 
@@ -55,17 +55,17 @@
     return _is_number(value) and value > 0
 
 
-def is_natural(value: object) -> bool:
+def is_non_negative_int(value: object) -> bool:
     """Returns whether ``value`` is an integer of at least zero."""
     return _is_number(value) and isinstance(value, int) and value >= 0
 
 
-def is_rate(value: object) -> bool:
+def is_fraction(value: object) -> bool:
     """Returns whether ``value`` is a number from 0 to 1."""
     return _is_number(value) and 0 <= value <= 1
 
 
-def is_not_negative(value: object) -> bool:
+def is_non_negative(value: object) -> bool:
     """Returns whether ``value`` is a number of at least 0."""
     return _is_number(value) and value >= 0
 
--- a/src/_arbutuswalk/control/main.py
+++ b/src/_arbutuswalk/control/main.py
@@ -13,16 +13,18 @@
 from _arbutuswalk.storage import folder
 
 FIELDS = (
-    settings.Field("id", "a name", settings.is_text),
+    settings.Field("id", "a name", settings.is_non_empty_string),
     settings.Field("address", "IP:port to listen on", settings.is_address),
-    settings.Field("data", "path of the data folder", settings.is_text),
+    settings.Field(
+        "data", "path of the data folder", settings.is_non_empty_string
+    ),
     settings.Field(
         "peers",
         "a list of the IP:port of all members that found the group",
         settings.is_address_list,
     ),
     settings.Field(
-        "voters", "a whole number of voters", settings.is_natural, 3
+        "voters", "a whole number of voters", settings.is_non_negative_int, 3
     ),
     settings.Field("heartbeat_s", "seconds", settings.is_positive, 0.1),
     settings.Field("election_s", "seconds", settings.is_positive, 0.6),
@@ -36,7 +38,9 @@
     settings.Field(
         "interval_s", "seconds between charges", settings.is_positive, 10.0
     ),
-    settings.Field("log_level", "an absl log level", settings.is_text, "info"),
+    settings.Field(
+        "log_level", "an absl log level", settings.is_non_empty_string, "info"
+    ),
 )
 
 LEASE_FRACTION = 0.75
--- a/src/_arbutuswalk/entry/announcing.py
+++ b/src/_arbutuswalk/entry/announcing.py
@@ -137,10 +137,13 @@
 
 
 def _is_cache_event(raw: Any) -> bool:
-    if not isinstance(raw, dict) or not settings.is_text(raw.get("id")):
+    if not isinstance(raw, dict) or not settings.is_non_empty_string(
+        raw.get("id")
+    ):
         return False
     naturals = all(
-        settings.is_natural(raw.get(key)) for key in ("incarnation", "sequence")
+        settings.is_non_negative_int(raw.get(key))
+        for key in ("incarnation", "sequence")
     )
     lists = all(
         isinstance(raw.get(key), list)
--- a/src/_arbutuswalk/entry/main.py
+++ b/src/_arbutuswalk/entry/main.py
@@ -28,16 +28,16 @@
 BACKLOG = 2048
 
 FIELDS = (
-    settings.Field("id", "a name", settings.is_text),
+    settings.Field("id", "a name", settings.is_non_empty_string),
     settings.Field(
         "address", "IP:port for callers and upstreams", settings.is_address
     ),
     settings.Field(
         "link_address", "IP:port for other entries", settings.is_address
     ),
-    settings.Field("domain", "a failure domain", settings.is_text),
-    settings.Field("region", "a region", settings.is_text, "local"),
-    settings.Field("weight", "a whole number", settings.is_natural, 1),
+    settings.Field("domain", "a failure domain", settings.is_non_empty_string),
+    settings.Field("region", "a region", settings.is_non_empty_string, "local"),
+    settings.Field("weight", "a whole number", settings.is_non_negative_int, 1),
     settings.Field(
         "control",
         "a list of the IP:port of control processes",
@@ -55,7 +55,9 @@
         float(app.ENTRIES_TTL_S),
     ),
     settings.Field("drain_limit_s", "seconds", settings.is_positive, 3600.0),
-    settings.Field("log_level", "an absl log level", settings.is_text, "info"),
+    settings.Field(
+        "log_level", "an absl log level", settings.is_non_empty_string, "info"
+    ),
 )
 
 
--- a/src/_arbutuswalk/load/main.py
+++ b/src/_arbutuswalk/load/main.py
@@ -20,14 +20,16 @@
 
 FIELDS = (
     settings.Field("entries", "a list of IP:port", settings.is_address_list),
-    settings.Field("workload", "path of a workload", settings.is_text),
+    settings.Field(
+        "workload", "path of a workload", settings.is_non_empty_string
+    ),
     settings.Field(
         "tokens",
         "a table of bearer tokens by workspace",
         lambda v: isinstance(v, dict),
     ),
     settings.Field("speed", "a number", settings.is_positive, 1.0),
-    settings.Field("seed", "a whole number", settings.is_natural, 1),
+    settings.Field("seed", "a whole number", settings.is_non_negative_int, 1),
     settings.Field(
         "report", "path of a JSON file", lambda v: isinstance(v, str), ""
     ),
--- a/src/_arbutuswalk/load/workload.py
+++ b/src/_arbutuswalk/load/workload.py
@@ -11,23 +11,31 @@
 
 KINDS = ("completions", "chat", "service")
 FIELDS = (
-    settings.Field("at_ms", "milliseconds", settings.is_natural),
-    settings.Field("workspace", "a workspace", settings.is_text),
+    settings.Field("at_ms", "milliseconds", settings.is_non_negative_int),
+    settings.Field("workspace", "a workspace", settings.is_non_empty_string),
     settings.Field("kind", " or ".join(KINDS), lambda v: v in KINDS),
-    settings.Field("upstream", "an upstream", settings.is_text),
-    settings.Field("ref", "a reference, unique in the file", settings.is_text),
+    settings.Field("upstream", "an upstream", settings.is_non_empty_string),
+    settings.Field(
+        "ref", "a reference, unique in the file", settings.is_non_empty_string
+    ),
     settings.Field(
         "dossier", "a name of shared text", lambda v: isinstance(v, str), ""
     ),
-    settings.Field("dossier_chars", "a number", settings.is_natural, 0),
+    settings.Field(
+        "dossier_chars", "a number", settings.is_non_negative_int, 0
+    ),
     settings.Field("ask", "the question", lambda v: isinstance(v, str), ""),
-    settings.Field("max_tokens", "a number", settings.is_natural, 64),
-    settings.Field("stream", "true or false", settings.is_flag, True),
-    settings.Field("deadline_ms", "a number", settings.is_natural, 60000),
-    settings.Field("priority", "0 to 9", settings.is_natural, 5),
+    settings.Field("max_tokens", "a number", settings.is_non_negative_int, 64),
+    settings.Field("stream", "true or false", settings.is_bool, True),
+    settings.Field(
+        "deadline_ms", "a number", settings.is_non_negative_int, 60000
+    ),
+    settings.Field("priority", "0 to 9", settings.is_non_negative_int, 5),
     settings.Field("key", "a key", lambda v: isinstance(v, str), ""),
-    settings.Field("resend_after_ms", "a number", settings.is_natural, 0),
-    settings.Field("method", "a method", settings.is_text, "POST"),
+    settings.Field(
+        "resend_after_ms", "a number", settings.is_non_negative_int, 0
+    ),
+    settings.Field("method", "a method", settings.is_non_empty_string, "POST"),
     settings.Field("path", "a path", lambda v: isinstance(v, str), ""),
     settings.Field("body", "an object", lambda v: isinstance(v, dict), {}),
 )
--- a/src/_arbutuswalk/routing/announcements.py
+++ b/src/_arbutuswalk/routing/announcements.py
@@ -59,30 +59,32 @@
 
 
 def _is_texts(value: object) -> bool:
-    return isinstance(value, list) and all(settings.is_text(v) for v in value)
+    return isinstance(value, list) and all(
+        settings.is_non_empty_string(v) for v in value
+    )
 
 
 _NAME = "a name"
 _NATURAL = "a whole number of at least 0"
 _FIELDS = (
-    settings.Field("id", _NAME, settings.is_text),
-    settings.Field("incarnation", _NATURAL, settings.is_natural),
-    settings.Field("sequence", _NATURAL, settings.is_natural),
+    settings.Field("id", _NAME, settings.is_non_empty_string),
+    settings.Field("incarnation", _NATURAL, settings.is_non_negative_int),
+    settings.Field("sequence", _NATURAL, settings.is_non_negative_int),
     settings.Field("address", "IP:port", settings.is_address),
-    settings.Field("upstream", _NAME, settings.is_text),
-    settings.Field("version", _NAME, settings.is_text),
-    settings.Field("instance", _NAME, settings.is_text),
-    settings.Field("domain", _NAME, settings.is_text),
-    settings.Field("instance_class", _NAME, settings.is_text),
-    settings.Field("role", _NAME, settings.is_text, "mixed"),
+    settings.Field("upstream", _NAME, settings.is_non_empty_string),
+    settings.Field("version", _NAME, settings.is_non_empty_string),
+    settings.Field("instance", _NAME, settings.is_non_empty_string),
+    settings.Field("domain", _NAME, settings.is_non_empty_string),
+    settings.Field("instance_class", _NAME, settings.is_non_empty_string),
+    settings.Field("role", _NAME, settings.is_non_empty_string, "mixed"),
     settings.Field("adapters", "a list of names", _is_texts, []),
-    settings.Field("slots", _NATURAL, settings.is_natural),
-    settings.Field("running", _NATURAL, settings.is_natural, 0),
-    settings.Field("cache_tokens", _NATURAL, settings.is_natural, 0),
-    settings.Field("fence", _NATURAL, settings.is_natural, 0),
-    settings.Field("leaving", "true or false", settings.is_flag, False),
-    settings.Field("leave_in_s", "seconds", settings.is_not_negative, 0.0),
-    settings.Field("echo", "true or false", settings.is_flag, True),
+    settings.Field("slots", _NATURAL, settings.is_non_negative_int),
+    settings.Field("running", _NATURAL, settings.is_non_negative_int, 0),
+    settings.Field("cache_tokens", _NATURAL, settings.is_non_negative_int, 0),
+    settings.Field("fence", _NATURAL, settings.is_non_negative_int, 0),
+    settings.Field("leaving", "true or false", settings.is_bool, False),
+    settings.Field("leave_in_s", "seconds", settings.is_non_negative, 0.0),
+    settings.Field("echo", "true or false", settings.is_bool, True),
 )
 
 
--- a/src/_arbutuswalk/standin/faults.py
+++ b/src/_arbutuswalk/standin/faults.py
@@ -7,20 +7,20 @@
 
 NATURAL = "a whole number"
 FIELDS = (
-    settings.Field("error_rate", "0 to 1", settings.is_rate, 0.0),
+    settings.Field("error_rate", "0 to 1", settings.is_fraction, 0.0),
     settings.Field("slow_factor", "1 or more", settings.is_positive, 1.0),
-    settings.Field("after_s", "seconds", settings.is_not_negative, 0.0),
-    settings.Field("from_running", NATURAL, settings.is_natural, 0),
+    settings.Field("after_s", "seconds", settings.is_non_negative, 0.0),
+    settings.Field("from_running", NATURAL, settings.is_non_negative_int, 0),
     settings.Field(
         "route", "a route or nothing", lambda v: isinstance(v, str), ""
     ),
     settings.Field(
         "die_on", "text in a prompt", lambda v: isinstance(v, str), ""
     ),
-    settings.Field("stall_after", NATURAL, settings.is_natural, 0),
-    settings.Field("cut_after", NATURAL, settings.is_natural, 0),
-    settings.Field("cross", "true or false", settings.is_flag, False),
-    settings.Field("late_s", "seconds", settings.is_not_negative, 0.0),
+    settings.Field("stall_after", NATURAL, settings.is_non_negative_int, 0),
+    settings.Field("cut_after", NATURAL, settings.is_non_negative_int, 0),
+    settings.Field("cross", "true or false", settings.is_bool, False),
+    settings.Field("late_s", "seconds", settings.is_non_negative, 0.0),
 )
 
 
--- a/src/_arbutuswalk/standin/platform.py
+++ b/src/_arbutuswalk/standin/platform.py
@@ -20,16 +20,16 @@
 from _arbutuswalk.standin import service as services
 
 FIELDS = (
-    settings.Field("id", "a name", settings.is_text),
+    settings.Field("id", "a name", settings.is_non_empty_string),
     settings.Field("address", "IP:port", settings.is_address),
     settings.Field("entries", "a list of IP:port", settings.is_address_list),
-    settings.Field("host", "an IP", settings.is_text, "127.0.0.1"),
-    settings.Field("first_port", "a port", settings.is_natural),
-    settings.Field("run_log", "path of a file", settings.is_text),
-    settings.Field("start_s", "seconds", settings.is_not_negative, 0.3),
-    settings.Field("refuse_rate", "0 to 1", settings.is_rate, 0.0),
+    settings.Field("host", "an IP", settings.is_non_empty_string, "127.0.0.1"),
+    settings.Field("first_port", "a port", settings.is_non_negative_int),
+    settings.Field("run_log", "path of a file", settings.is_non_empty_string),
+    settings.Field("start_s", "seconds", settings.is_non_negative, 0.3),
+    settings.Field("refuse_rate", "0 to 1", settings.is_fraction, 0.0),
     settings.Field("token_s", "seconds", settings.is_positive, 0.02),
-    settings.Field("slots", "a whole number", settings.is_natural, 8),
+    settings.Field("slots", "a whole number", settings.is_non_negative_int, 8),
     settings.Field(
         "prices",
         "a table of micro-units an hour by class",
--- a/src/_arbutuswalk/standin/runner.py
+++ b/src/_arbutuswalk/standin/runner.py
@@ -17,13 +17,13 @@
 
 FIELDS = (
     *units.FIELDS,
-    settings.Field("slots", "a whole number", settings.is_natural, 8),
+    settings.Field("slots", "a whole number", settings.is_non_negative_int, 8),
     settings.Field("token_s", "seconds", settings.is_positive, 0.02),
     settings.Field(
         "prefill_tokens_per_s", "a number", settings.is_positive, 20000.0
     ),
     settings.Field(
-        "cache_tokens", "a whole number", settings.is_natural, 65536
+        "cache_tokens", "a whole number", settings.is_non_negative_int, 65536
     ),
 )
 
--- a/src/_arbutuswalk/standin/service.py
+++ b/src/_arbutuswalk/standin/service.py
@@ -18,9 +18,9 @@
 
 FIELDS = (
     *units.FIELDS,
-    settings.Field("slots", "a whole number", settings.is_natural, 64),
-    settings.Field("work_s", "seconds", settings.is_not_negative, 0.01),
-    settings.Field("run_log", "path of a file", settings.is_text),
+    settings.Field("slots", "a whole number", settings.is_non_negative_int, 64),
+    settings.Field("work_s", "seconds", settings.is_non_negative, 0.01),
+    settings.Field("run_log", "path of a file", settings.is_non_empty_string),
 )
 
 
--- a/src/_arbutuswalk/standin/unit.py
+++ b/src/_arbutuswalk/standin/unit.py
@@ -16,14 +16,14 @@
 from _arbutuswalk.standin import server as servers
 
 FIELDS = (
-    settings.Field("id", "a name", settings.is_text),
+    settings.Field("id", "a name", settings.is_non_empty_string),
     settings.Field("address", "IP:port", settings.is_address),
     settings.Field("entries", "a list of IP:port", settings.is_address_list),
-    settings.Field("upstream", "a name", settings.is_text),
-    settings.Field("version", "a name", settings.is_text),
-    settings.Field("instance", "a name", settings.is_text),
-    settings.Field("domain", "a failure domain", settings.is_text),
-    settings.Field("instance_class", "a class", settings.is_text),
+    settings.Field("upstream", "a name", settings.is_non_empty_string),
+    settings.Field("version", "a name", settings.is_non_empty_string),
+    settings.Field("instance", "a name", settings.is_non_empty_string),
+    settings.Field("domain", "a failure domain", settings.is_non_empty_string),
+    settings.Field("instance_class", "a class", settings.is_non_empty_string),
 )
 ANNOUNCED = (
     "id",
--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -125,16 +125,22 @@
 )
 _CLASS = (
     settings.Field("name", _NAME, _is_name),
-    settings.Field("slots", _NATURAL, settings.is_natural),
+    settings.Field("slots", _NATURAL, settings.is_non_negative_int),
 )
 _RULES = (
-    settings.Field("first_token_ms", _NATURAL, settings.is_natural, 410),
-    settings.Field("between_tokens_ms", _NATURAL, settings.is_natural, 62),
     settings.Field(
-        "cost_ceiling_micro_per_hour", _NATURAL, settings.is_natural, 0
+        "first_token_ms", _NATURAL, settings.is_non_negative_int, 410
     ),
-    settings.Field("rollout_deadline_s", _NATURAL, settings.is_natural, 3600),
-    settings.Field("bake_s", _NATURAL, settings.is_natural, 60),
+    settings.Field(
+        "between_tokens_ms", _NATURAL, settings.is_non_negative_int, 62
+    ),
+    settings.Field(
+        "cost_ceiling_micro_per_hour", _NATURAL, settings.is_non_negative_int, 0
+    ),
+    settings.Field(
+        "rollout_deadline_s", _NATURAL, settings.is_non_negative_int, 3600
+    ),
+    settings.Field("bake_s", _NATURAL, settings.is_non_negative_int, 60),
 )
 _WORKSPACE = (
     settings.Field("name", _NAME, _is_name),
@@ -145,13 +151,13 @@
     settings.Field("name", _NAME, _is_name),
     settings.Field("path", "a path that starts with /", _is_path),
     settings.Field("methods", "a list of HTTP methods", _is_methods),
-    settings.Field("repeatable", "true or false", settings.is_flag),
+    settings.Field("repeatable", "true or false", settings.is_bool),
     settings.Field("status", "a path with {key}", _is_status, ""),
 )
 
 
 def _upstream_fields(rules: dict[str, Any]) -> tuple[settings.Field, ...]:
-    natural = settings.is_natural
+    natural = settings.is_non_negative_int
     deadline = rules.get("rollout_deadline_s", 3600)
     return (
         settings.Field("name", _NAME, _is_name),
@@ -164,7 +170,7 @@
         settings.Field("most", _NATURAL, natural, 0),
         settings.Field("rollout_deadline_s", _NATURAL, natural, deadline),
         settings.Field("bake_s", _NATURAL, natural, rules.get("bake_s", 60)),
-        settings.Field("fenced", "true or false", settings.is_flag, False),
+        settings.Field("fenced", "true or false", settings.is_bool, False),
         settings.Field("routes", "a list of tables", _is_tables, []),
     )
 
