--- a/src/_arbutuswalk/base/process.py
+++ b/src/_arbutuswalk/base/process.py
@@ -50,7 +50,7 @@
     logging.set_verbosity(level)
 
 
-def on_signals(
+def install_signal_handlers(
     *, drain: Callable[[], None], dump: Callable[[], dict[str, Any]]
 ) -> None:
     """Drains on SIGTERM and SIGINT, and writes a state dump on SIGUSR1."""
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -60,7 +60,7 @@
     server = link.LinkServer(address=values["address"], handler=serving.handle)
     await server.start()
     stop = asyncio.Event()
-    process.on_signals(drain=stop.set, dump=serving.dump)
+    process.install_signal_handlers(drain=stop.set, dump=serving.dump)
     parts = Parts(values["id"], member, serving, hub)
     close_front = await front(parts) if front is not None else None
     _log_start(values)
--- a/src/_arbutuswalk/entry/main.py
+++ b/src/_arbutuswalk/entry/main.py
@@ -115,7 +115,9 @@
     )
     server = Server(config)
     draining = asyncio.Event()
-    process.on_signals(drain=draining.set, dump=lambda: links.dump(entry))
+    process.install_signal_handlers(
+        drain=draining.set, dump=lambda: links.dump(entry)
+    )
     events.log(
         events.Event.PROCESS_STARTED, "entry", entry.name, values["address"]
     )
