--- a/src/_arbutuswalk/base/metrics.py
+++ b/src/_arbutuswalk/base/metrics.py
@@ -23,9 +23,9 @@
         self.counters: dict[tuple[str, str], int] = collections.Counter()
         self.histograms: dict[tuple[str, str], histogram.HdrHistogram] = {}
 
-    def count(self, name: str, labels: str = "", by: int = 1) -> None:
+    def count(self, name: str, labels: str = "", amount: int = 1) -> None:
         """Adds ``amount`` to a counter."""
-        self.counters[name, labels] += by
+        self.counters[name, labels] += amount
 
     def record(self, name: str, labels: str, seconds: float) -> None:
         """Records one duration in a histogram."""
--- a/src/_arbutuswalk/entry/running.py
+++ b/src/_arbutuswalk/entry/running.py
@@ -318,7 +318,9 @@
         return
     cached = getattr(result, "cached_tokens", 0)
     known = request.features.prompt_tokens + before
-    state.entry.metrics.count("recomputed_tokens", by=max(0, known - cached))
+    state.entry.metrics.count(
+        "recomputed_tokens", amount=max(0, known - cached)
+    )
     if before:
         state.entry.metrics.count("resumed")
         events.log(
