--- a/src/_arbutuswalk/cli/apply.py
+++ b/src/_arbutuswalk/cli/apply.py
@@ -159,8 +159,14 @@
                 result["moves"] = [
                     common.move_line(move, row) for move, row in ended
                 ]
-                reverted = [row for _, row in ended if row["state"] != "done"]
-                return common.EXIT_MOVE_REVERTED if reverted else common.EXIT_OK
+                not_completed = [
+                    row for _, row in ended if row["state"] != "done"
+                ]
+                return (
+                    common.EXIT_MOVE_NOT_COMPLETED
+                    if not_completed
+                    else common.EXIT_OK
+                )
             time.sleep(POLL_INTERVAL_S)
         result["state"] += "; a move has not ended"
         return common.EXIT_TIMED_OUT
