--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -64,7 +64,7 @@
     )
     await server.start()
     stop = asyncio.Event()
-    process.on_signals(drain=stop.set, dump=request_service.dump)
+    process.install_signal_handlers(drain=stop.set, dump=request_service.dump)
     components = Components(values["id"], member, request_service, discovery)
     close_interface = (
         await start_interface(components)
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -331,7 +331,7 @@
     cached_tokens = getattr(result, "cached_tokens", 0)
     known_tokens = request.features.prompt_tokens + events_before
     state.entry.metrics.count(
-        "recomputed_tokens", by=max(0, known_tokens - cached_tokens)
+        "recomputed_tokens", amount=max(0, known_tokens - cached_tokens)
     )
     if events_before:
         state.entry.metrics.count("resumed")
--- a/src/_arbutuswalk/entry/upstream_announcements.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -163,10 +163,12 @@
 
 
 def _is_cache_event(event: Any) -> bool:
-    if not isinstance(event, dict) or not settings.is_text(event.get("id")):
+    if not isinstance(event, dict) or not settings.is_non_empty_string(
+        event.get("id")
+    ):
         return False
     numbers_valid = all(
-        settings.is_natural(event.get(key))
+        settings.is_non_negative_int(event.get(key))
         for key in ("incarnation", "sequence")
     )
     lists_valid = all(
--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -130,20 +130,28 @@
 )
 _CLASS_FIELDS = (
     settings.Field("name", _NAME_FORMAT, _is_name),
-    settings.Field("slots", _NATURAL_FORMAT, settings.is_natural),
+    settings.Field("slots", _NATURAL_FORMAT, settings.is_non_negative_int),
 )
 _RULES_FIELDS = (
-    settings.Field("first_token_ms", _NATURAL_FORMAT, settings.is_natural, 410),
     settings.Field(
-        "between_tokens_ms", _NATURAL_FORMAT, settings.is_natural, 62
+        "first_token_ms", _NATURAL_FORMAT, settings.is_non_negative_int, 410
     ),
     settings.Field(
-        "cost_ceiling_micro_per_hour", _NATURAL_FORMAT, settings.is_natural, 0
+        "between_tokens_ms", _NATURAL_FORMAT, settings.is_non_negative_int, 62
     ),
     settings.Field(
-        "rollout_deadline_s", _NATURAL_FORMAT, settings.is_natural, 3600
+        "cost_ceiling_micro_per_hour",
+        _NATURAL_FORMAT,
+        settings.is_non_negative_int,
+        0,
     ),
-    settings.Field("bake_s", _NATURAL_FORMAT, settings.is_natural, 60),
+    settings.Field(
+        "rollout_deadline_s",
+        _NATURAL_FORMAT,
+        settings.is_non_negative_int,
+        3600,
+    ),
+    settings.Field("bake_s", _NATURAL_FORMAT, settings.is_non_negative_int, 60),
 )
 _WORKSPACE_FIELDS = (
     settings.Field("name", _NAME_FORMAT, _is_name),
@@ -154,13 +162,13 @@
     settings.Field("name", _NAME_FORMAT, _is_name),
     settings.Field("path", "a path that starts with /", _is_path),
     settings.Field("methods", "a list of HTTP methods", _is_method_list),
-    settings.Field("repeatable", "true or false", settings.is_flag),
+    settings.Field("repeatable", "true or false", settings.is_bool),
     settings.Field("status", "a path with {key}", _is_status_path, ""),
 )
 
 
 def _upstream_fields(rules: dict[str, Any]) -> tuple[settings.Field, ...]:
-    natural = settings.is_natural
+    natural = settings.is_non_negative_int
     deadline = rules.get("rollout_deadline_s", 3600)
     return (
         settings.Field("name", _NAME_FORMAT, _is_name),
@@ -179,7 +187,7 @@
         settings.Field(
             "bake_s", _NATURAL_FORMAT, natural, rules.get("bake_s", 60)
         ),
-        settings.Field("fenced", "true or false", settings.is_flag, False),
+        settings.Field("fenced", "true or false", settings.is_bool, False),
         settings.Field("routes", "a list of tables", _is_table_list, []),
     )
 
