--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -3,7 +3,7 @@
 import os
 
 import hypothesis
-import processes
+import process_fixtures
 import pytest
 
 hypothesis.settings.register_profile(
@@ -30,13 +30,13 @@
 
 @pytest.fixture
 def group(tmp_path):
-    made = processes.Group(tmp_path)
+    made = process_fixtures.Group(tmp_path)
     yield made
     made.end()
 
 
 @pytest.fixture
 async def world(group):
-    made = processes.World(group)
+    made = process_fixtures.World(group)
     yield made
     await made.client.stop()
--- a/testing/platform_world.py
+++ b/testing/platform_world.py
@@ -8,7 +8,7 @@
 import sys
 
 import aiohttp
-import processes
+import process_fixtures
 import relays
 
 ROOT = pathlib.Path(__file__).parent.parent
@@ -64,13 +64,13 @@
     def __init__(self, folder, net=0):
         """``net`` keeps worlds that run at the same time apart."""
         self.folder = folder
-        ports = processes.free_ports(5)
+        ports = process_fixtures.free_ports(5)
         self.link = ports[0]
         self.operators, self.lookups = ports[1], ports[2]
         self.callers, self.readiness = ports[3], ports[4]
         self.controls = [f"127.{net}.1.{i}" for i in (1, 2, 3)]
         self.entries = [f"127.{net}.2.{i}" for i in (1, 2)]
-        self.group = processes.Group(folder)
+        self.group = process_fixtures.Group(folder)
         self.running = self.group.running
         self.session = None
         self.beating = []
@@ -138,7 +138,7 @@
                     return status, data
             return None
 
-        return await processes.until(once)
+        return await process_fixtures.wait_until(once)
 
     async def ask(self, ip, path="/a/x"):
         url = f"http://{ip}:{self.callers}{path}"
@@ -149,7 +149,7 @@
         async def once():
             return (await self.ask(ip, path))[0] == status
 
-        return await processes.until(once)
+        return await process_fixtures.wait_until(once)
 
     async def announce(self, endpoint, **said):
         """Starts an endpoint that sends a heartbeat again and again."""
--- a/testing/processes.py
+++ b/testing/process_fixtures.py
@@ -78,14 +78,14 @@
                 process.wait(STOP_S)
 
 
-async def until(check, tries=300, pause_s=0.1):
-    """Polls until ``check`` returns something true, or gives up."""
-    for _ in range(tries):
-        found = await check()
+async def wait_until(predicate, max_polls=300, pause_s=0.1):
+    """Polls until ``predicate`` is true; fails after ``max_polls`` polls."""
+    for _ in range(max_polls):
+        found = await predicate()
         if found:
             return found
         await asyncio.sleep(pause_s)
-    raise AssertionError(f"{check} never came true")
+    raise AssertionError(f"{predicate} never came true")
 
 
 class World:
@@ -163,7 +163,7 @@
             self.start_control(i)
         for i in range(entries):
             self.start_entry(i)
-        await until(self.whole_group)
+        await wait_until(self.whole_group)
         outcome = await self.submit(
             commands.Apply("first", "test", 0, worlds.INVENTORY)
         )
@@ -173,7 +173,7 @@
             found = await self.read("entries")
             return isinstance(found, dict) and len(found) == entries
 
-        await until(registered)
+        await wait_until(registered)
 
     async def in_force(self):
         found = await self.read("in_force", "1")
--- a/testing/soak/soak.py
+++ b/testing/soak/soak.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 import platform_world
-import processes
+import process_fixtures
 
 from soak import callers
 from soak import checks
@@ -114,14 +114,14 @@
             ]
             return found == [200] * len(found) and await self._three_voters()
 
-        await processes.until(whole)
+        await process_fixtures.wait_until(whole)
 
     async def _three_voters(self):
         control = ",".join(
             f"{ip}:{self.world.link}" for ip in self.world.controls
         )
         process = await asyncio.create_subprocess_exec(
-            processes.BIN / "arbutuswalk",
+            process_fixtures.BIN / "arbutuswalk",
             "status",
             "--control",
             control,
@@ -158,7 +158,7 @@
         async def published():
             return await self.publish()
 
-        await processes.until(published)
+        await process_fixtures.wait_until(published)
         for ip in self.world.entries:
             await self.world.until_status(ip, 200)
 
--- a/testing/test_crash_processes.py
+++ b/testing/test_crash_processes.py
@@ -4,7 +4,7 @@
 import json
 
 import aiohttp
-import processes
+import process_fixtures
 
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
@@ -20,7 +20,7 @@
 async def complete(session, address, prompt):
     """Sends one request; returns status and body."""
     body = {"model": "model", "prompt": prompt, "max_tokens": 8}
-    headers = {**processes.HEADERS, "X-Deadline-Ms": "10000"}
+    headers = {**process_fixtures.HEADERS, "X-Deadline-Ms": "10000"}
     async with session.post(
         f"http://{address}/v1/completions", json=body, headers=headers
     ) as response:
@@ -70,9 +70,9 @@
         await world.begin()
         for i in range(RUNNERS):
             world.start_upstream(i, "runner", "model", token_s=0.01)
-        await processes.until(world.in_force)
+        await process_fixtures.wait_until(world.in_force)
         for address in world.links[:2]:
-            await processes.until(knows_all(address))
+            await process_fixtures.wait_until(knows_all(address))
         entries = world.entries[:2]
         async with aiohttp.ClientSession() as session:
             await make_deadly(session, world)
--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 
-import processes
+import process_fixtures
 import pytest
 import relays
 from arbutuswalk_platform import callers
@@ -233,7 +233,9 @@
             while not front.endpoint.heads:
                 await asyncio.sleep(0.01)
             draining = self.drain(front)
-            await processes.until(refuses, tries=50, pause_s=0.02)
+            await process_fixtures.wait_until(
+                refuses, max_polls=50, pause_s=0.02
+            )
             assert not draining.done()
             release.set()
             status, head = await asking
--- a/testing/test_platform_processes.py
+++ b/testing/test_platform_processes.py
@@ -11,7 +11,7 @@
 
 import aiohttp
 import platform_world
-import processes
+import process_fixtures
 import pytest
 import relays
 
@@ -40,7 +40,7 @@
                 status, data = await world.call("GET", url)
                 return status == 200 and len(json.loads(data)["addresses"]) == 2
 
-            await processes.until(both)
+            await process_fixtures.wait_until(both)
         changed = platform_world.config(5, "/b/")
         assert (
             await world.operate("POST", "/v1/Configuration.Replace", changed)
@@ -155,9 +155,9 @@
             url = f"http://{ip}:{world.readiness}/v1/readiness"
             return (await world.call("GET", url))[0] == 503
 
-        await processes.until(unready)
+        await process_fixtures.wait_until(unready)
         assert (await asking)[0] == 200
-        assert world.running[ip].wait(processes.STOP_S) == 0
+        assert world.running[ip].wait(process_fixtures.STOP_S) == 0
 
     async def test_all_processes_at_once_serve_again(self, world):
         await world.begin("/a/")
@@ -188,4 +188,6 @@
         with path.open("w") as pipe:
             process.send_signal(signal.SIGHUP)
             pipe.write("not toml")
-        assert process.wait(processes.STOP_S) == settings.EXIT_BAD_SETTINGS
+        assert (
+            process.wait(process_fixtures.STOP_S) == settings.EXIT_BAD_SETTINGS
+        )
--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -8,7 +8,7 @@
 import signal
 
 import aiohttp
-import processes
+import process_fixtures
 import worlds
 
 from _arbutuswalk.entry import control_client
@@ -20,7 +20,7 @@
 """Callers at the same time."""
 
 
-HEADERS = processes.HEADERS
+HEADERS = process_fixtures.HEADERS
 
 
 async def claim(session, address, key):
@@ -51,7 +51,7 @@
             world.start_upstream(
                 i, "service", "claims", run_log=str(world.run_log)
             )
-        await processes.until(world.in_force)
+        await process_fixtures.wait_until(world.in_force)
         acked = []
         learnt = collections.defaultdict(set)
         stop, healed = asyncio.Event(), asyncio.Event()
@@ -100,7 +100,7 @@
                         i, "service", "claims", run_log=str(world.run_log)
                     )
             healed.set()
-            await processes.until(enough)
+            await process_fixtures.wait_until(enough)
             stop.set()
 
         async def enough():
@@ -111,7 +111,7 @@
         await asyncio.gather(
             write(), *(call(lane) for lane in range(LANES)), break_things()
         )
-        await processes.until(world.status)
+        await process_fixtures.wait_until(world.status)
         known = await world.read("entries")
         assert [name for name in acked if name not in known] == []
         assert len(acked) > 20
@@ -139,7 +139,7 @@
                 found = await world.whole_group()
                 return found and old not in found["voter_ids"]
 
-            await processes.until(repaired)
+            await process_fixtures.wait_until(repaired)
         assert (await world.status())["revision"] == 1
 
     async def test_lost_majority_refuses_and_says_so(self, world):
@@ -155,7 +155,7 @@
         assert isinstance(outcome, control_client.Unreachable)
         world.start_control(0)
         world.start_control(1)
-        await processes.until(world.whole_group)
+        await process_fixtures.wait_until(world.whole_group)
         again = await world.submit(
             commands.Apply("second", "test", 1, worlds.INVENTORY)
         )
@@ -182,7 +182,7 @@
 class TestFreezes:
     async def test_frozen_leader_is_replaced_and_reverts_nothing(self, world):
         await world.begin()
-        await processes.until(world.in_force)
+        await process_fixtures.wait_until(world.in_force)
         leader = (await world.status())["leader"]
         name = f"control-{world.control.index(leader)}"
         world.group.freeze(name)
@@ -197,7 +197,7 @@
 
     async def test_frozen_entry_admits_nothing_after_its_lease(self, world):
         await world.begin()
-        await processes.until(world.in_force)
+        await process_fixtures.wait_until(world.in_force)
         world.group.freeze("entry-0")
 
         async def gone():
@@ -206,7 +206,7 @@
                 return False
             return found["entry-0"]["state"] == "gone"
 
-        await processes.until(gone)
+        await process_fixtures.wait_until(gone)
         outcome = await world.submit(
             commands.Apply("second", "test", 1, worlds.INVENTORY)
         )
@@ -227,7 +227,7 @@
     async def test_entry_killed_in_mid_stream_is_resumed_elsewhere(self, world):
         await world.begin(entries=3)
         world.start_upstream(3, "runner", "model", token_s=0.05)
-        await processes.until(world.in_force)
+        await process_fixtures.wait_until(world.in_force)
         body = {
             "model": "model",
             "prompt": "ref:killed",
@@ -247,7 +247,7 @@
                             return False
                 return True
 
-            await processes.until(serving)
+            await process_fixtures.wait_until(serving)
             events = await read_events(session, world.entries[0], body, 20)
             assert len(events) >= 20
             world.group.kill("entry-0")
@@ -266,7 +266,7 @@
     async def test_drain_cuts_no_request(self, world):
         await world.begin()
         world.start_upstream(3, "runner", "model", token_s=0.05)
-        await processes.until(world.in_force)
+        await process_fixtures.wait_until(world.in_force)
         body = {
             "model": "model",
             "prompt": "ref:drained",
@@ -278,7 +278,7 @@
             async def first_events():
                 return await read_events(session, world.entries[0], body, 1)
 
-            await processes.until(first_events)
+            await process_fixtures.wait_until(first_events)
             reading = asyncio.ensure_future(
                 read_events(session, world.entries[0], body, None)
             )
@@ -293,7 +293,7 @@
                 addresses = [row["address"] for row in listed]
                 return world.entries[0] not in addresses
 
-            await processes.until(left_the_list)
+            await process_fixtures.wait_until(left_the_list)
             events = await reading
         assert events[-1].endswith(b"data: [DONE]")
         assert await asyncio.to_thread(process.wait, TIMEOUT_S) == 0
