--- a/testing/test_known_red.py
+++ b/testing/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests, as CI reads it."""
+"""Tests of the script by which CI runs the tests of KNOWN-RED.txt apart."""
 
 import importlib.util
 import pathlib
@@ -26,51 +26,53 @@
     return module
 
 
-def written(**changes):
+def format_entry(**changes):
     fields = {**ENTRY, **changes}
     return "\n".join(f"{k}: {v}" for k, v in fields.items() if v is not None)
 
 
 class TestKnownRed:
     def test_entries_are_read(self, known_red):
-        other = written(test="testing/test_wal.py::TestWal::test_one")
-        text = f"# a comment\n\n{written()}\n\n{other}\n"
-        entries, problems = known_red.parse(text)
+        other_entry = format_entry(
+            test="testing/test_wal.py::TestWal::test_one"
+        )
+        list_text = f"# a comment\n\n{format_entry()}\n\n{other_entry}\n"
+        entries, problems = known_red.parse(list_text)
         assert problems == []
-        assert [e["test"] for e in entries] == [
+        assert [entry["test"] for entry in entries] == [
             "testing/test_smoke.py::test_import",
             "testing/test_wal.py::TestWal::test_one",
         ]
 
-    def test_an_empty_list_has_no_entries(self, known_red):
+    def test_empty_list_has_no_entries(self, known_red):
         assert known_red.parse("# only a comment\n") == ([], [])
 
     @pytest.mark.parametrize(
         "text",
         [
-            *(written(**{key: None}) for key in ENTRY),
-            *(written(**{key: ""}) for key in ENTRY),
-            written(test="testing/test_smoke.py"),
-            written(reason="an unknown key"),
-            f"{written()}\nissue: 10",
-            f"{written()}\nno key",
-            f"{written()}\n\n{written()}",
+            *(format_entry(**{key: None}) for key in ENTRY),
+            *(format_entry(**{key: ""}) for key in ENTRY),
+            format_entry(test="testing/test_smoke.py"),
+            format_entry(reason="an unknown key"),
+            f"{format_entry()}\nissue: 10",
+            f"{format_entry()}\nno key",
+            f"{format_entry()}\n\n{format_entry()}",
         ],
     )
-    def test_a_malformed_entry_is_a_problem(self, known_red, text):
+    def test_malformed_entry_is_a_problem(self, known_red, text):
         _, problems = known_red.parse(text)
         assert problems
 
     @pytest.mark.parametrize(
         ("text", "status"),
         [
-            (written(seen=""), 1),
-            (written(test="testing/test_smoke.py::test_absent"), 1),
-            (written(test="testing/test_absent.py::test_absent"), 1),
+            (format_entry(seen=""), 1),
+            (format_entry(test="testing/test_smoke.py::test_absent"), 1),
+            (format_entry(test="testing/test_absent.py::test_absent"), 1),
         ],
         ids=["malformed", "no such test", "no such file"],
     )
-    def test_a_list_that_cannot_be_run_fails(
+    def test_unrunnable_list_fails(
         self, known_red, monkeypatch, tmp_path, text, status
     ):
         path = tmp_path / "KNOWN-RED.txt"
@@ -81,19 +83,19 @@
     @pytest.mark.parametrize(
         ("body", "outcome"), [("True", "passed"), ("False", "failed")]
     )
-    def test_the_outcome_of_a_listed_test_is_printed(
+    def test_outcome_of_listed_test_is_printed(
         self, known_red, monkeypatch, tmp_path, capsys, body, outcome
     ):
         test = tmp_path / "test_red.py"
         test.write_text(f"def test_red():\n    assert {body}\n")
         path = tmp_path / "KNOWN-RED.txt"
-        path.write_text(written(test=f"{test}::test_red"))
+        path.write_text(format_entry(test=f"{test}::test_red"))
         monkeypatch.setattr(known_red, "LIST", path)
         assert known_red.main("run") == 0
         assert f"test_red {outcome} (issue 9)" in capsys.readouterr().out
 
-    def test_the_list_of_this_project_is_well_formed(self):
-        done = subprocess.run(
+    def test_project_list_is_well_formed(self):
+        result = subprocess.run(
             [sys.executable, str(SCRIPT), "list"], check=False
         )
-        assert done.returncode == 0
+        assert result.returncode == 0
--- a/testing/test_quality.py
+++ b/testing/test_quality.py
@@ -1,4 +1,4 @@
-"""Rules about the code itself: layers, event catalogue, size of files."""
+"""Tests of the source: layers, event catalogue, file length, imports."""
 
 import ast
 import pathlib
@@ -9,7 +9,7 @@
 from _arbutuswalk.base import events
 
 ROOT = pathlib.Path(__file__).parent.parent
-SOURCE = ROOT / "src" / "_arbutuswalk"
+SOURCE_FOLDER = ROOT / "src" / "_arbutuswalk"
 LAYERS = [
     {"base"},
     {"wire"},
@@ -20,21 +20,21 @@
     {"control", "entry", "relay"},
     {"cli", "load", "standin"},
 ]
-MOST_LINES = 400
+MAX_FILE_LINES = 400
 
 
-def modules():
+def source_modules():
     return sorted(
         path
-        for path in SOURCE.rglob("*.py")
+        for path in SOURCE_FOLDER.rglob("*.py")
         if "gen" not in path.parts and path.name != "__init__.py"
     )
 
 
-def layer_of(package):
-    for height, packages in enumerate(LAYERS):
+def layer_index(package):
+    for index, packages in enumerate(LAYERS):
         if package in packages:
-            return height
+            return index
     raise AssertionError(f"{package} is in no layer")
 
 
@@ -48,35 +48,43 @@
 
 class TestLayers:
     @pytest.mark.parametrize(
-        "path", modules(), ids=lambda p: f"{p.parent.name}.{p.stem}"
+        "path", source_modules(), ids=lambda p: f"{p.parent.name}.{p.stem}"
     )
-    def test_imports_go_downwards(self, path):
-        package = path.relative_to(SOURCE).parts[0]
-        own = layer_of(package)
+    def test_imports_go_to_lower_layers(self, path):
+        package = path.relative_to(SOURCE_FOLDER).parts[0]
+        package_layer = layer_index(package)
         for imported in imported_packages(path):
             if imported != package:
-                assert layer_of(imported) <= own, imported
+                assert layer_index(imported) <= package_layer, imported
 
     @pytest.mark.parametrize(
         "package", ["agreement", "state", "routing", "limits"]
     )
     def test_decisions_read_no_clock_and_do_no_io(self, package):
-        for path in (SOURCE / package).glob("*.py"):
-            names = {
+        for path in (SOURCE_FOLDER / package).glob("*.py"):
+            imported_names = {
                 alias.name.split(".")[0]
                 for node in ast.walk(ast.parse(path.read_text()))
                 if isinstance(node, ast.Import)
                 for alias in node.names
             }
-            assert not names & {"time", "asyncio", "aiohttp", "os", "socket"}
+            assert not imported_names & {
+                "time",
+                "asyncio",
+                "aiohttp",
+                "os",
+                "socket",
+            }
 
 
 class TestCatalogue:
-    def test_events_and_documentation_are_equal(self):
-        text = (ROOT / "docs" / "events.md").read_text()
-        listed = dict(re.findall(r"^\| E(\d+) \| `([^`]+)` \|", text, re.M))
-        known = {str(e.number): e.message for e in events.Event}
-        assert listed == known
+    def test_events_match_their_documentation(self):
+        catalogue = (ROOT / "docs" / "events.md").read_text()
+        documented_messages = dict(
+            re.findall(r"^\| E(\d+) \| `([^`]+)` \|", catalogue, re.M)
+        )
+        messages = {str(event.number): event.message for event in events.Event}
+        assert documented_messages == messages
 
     def test_numbers_are_unique(self):
         numbers = [event.number for event in events.Event]
@@ -85,20 +93,20 @@
 
 class TestSource:
     @pytest.mark.parametrize(
-        "path", modules(), ids=lambda p: f"{p.parent.name}.{p.stem}"
+        "path", source_modules(), ids=lambda p: f"{p.parent.name}.{p.stem}"
     )
-    def test_files_stay_small(self, path):
-        assert len(path.read_text().splitlines()) <= MOST_LINES
+    def test_files_have_limited_length(self, path):
+        assert len(path.read_text().splitlines()) <= MAX_FILE_LINES
 
     def test_modules_are_imported_not_names(self):
-        allowed = {"typing", "collections.abc"}
-        for path in modules():
+        allowed_modules = {"typing", "collections.abc"}
+        for path in source_modules():
             for node in ast.walk(ast.parse(path.read_text())):
                 if not isinstance(node, ast.ImportFrom):
                     continue
                 for alias in node.names:
                     is_class = alias.name[0].isupper()
-                    # thrift's own modules have capital names
-                    allowed_here = node.module.split(".")[0] == "thrift"
-                    allowed_here |= node.module in allowed
-                    assert not is_class or allowed_here, path
+                    # modules of the thrift package have capitalized names
+                    class_import_allowed = node.module.split(".")[0] == "thrift"
+                    class_import_allowed |= node.module in allowed_modules
+                    assert not is_class or class_import_allowed, path
--- a/testing/test_smoke.py
+++ b/testing/test_smoke.py
@@ -1,11 +1,13 @@
-"""The public package imports and names what it says."""
+"""The public package can be imported and defines its exported names."""
 
 import arbutuswalk
 
 
 class TestPublicPackage:
-    def test_names_exist(self):
-        missing = [
-            n for n in arbutuswalk.__all__ if not hasattr(arbutuswalk, n)
+    def test_exported_names_exist(self):
+        missing_names = [
+            name
+            for name in arbutuswalk.__all__
+            if not hasattr(arbutuswalk, name)
         ]
-        assert missing == []
+        assert missing_names == []
