--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -29,14 +29,14 @@
 
 
 @pytest.fixture
-def group(tmp_path):
-    made = process_fixtures.Group(tmp_path)
-    yield made
-    made.end()
+def process_group(tmp_path):
+    new_group = process_fixtures.ProcessGroup(tmp_path)
+    yield new_group
+    new_group.stop_all()
 
 
 @pytest.fixture
-async def world(group):
-    made = process_fixtures.World(group)
-    yield made
-    await made.client.stop()
+async def cluster(process_group):
+    new_cluster = process_fixtures.Cluster(process_group)
+    yield new_cluster
+    await new_cluster.client.stop()
--- a/testing/soak/__init__.py
+++ b/testing/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the real programs under faults from outside them."""
+"""Randomized soak test: real processes under externally injected faults."""
--- a/testing/soak/__main__.py
+++ b/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs soaks by hand: ``python -m soak --seeds 50``."""
+"""Command line of the soak test: ``python -m soak --seeds 50``."""
 
 import argparse
 import asyncio
@@ -10,41 +10,50 @@
 from soak import regressions
 from soak import soak
 
-NETS = 200
-"""Loopback networks, so that soaks at the same time do not meet."""
+LOOPBACK_NETWORKS = 200
+"""Loopback networks; concurrent soaks use different ones."""
 
 
 async def main(arguments):
-    """Runs seeds a few at a time; returns those that broke something."""
-    gate = asyncio.Semaphore(arguments.jobs)
-    failed = []
+    """Runs ``arguments.jobs`` seeds at a time; returns the failed seeds."""
+    job_slots = asyncio.Semaphore(arguments.jobs)
+    failed_seeds = []
 
-    async def one(seed):
-        async with gate:
+    async def run_seed(seed):
+        async with job_slots:
             folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-            made = soak.Soak(folder=folder, seed=seed, net=1 + seed % NETS)
-            lines = await made.run(arguments.seconds)
-            good = sum(each.status == 200 for each in made.tried)
+            soak_run = soak.Soak(
+                folder=folder,
+                seed=seed,
+                network_octet=1 + seed % LOOPBACK_NETWORKS,
+            )
+            violations = await soak_run.run(arguments.seconds)
+            served = sum(attempt.status == 200 for attempt in soak_run.attempts)
             print(
-                f"seed {seed}: {len(made.tried)} tried, {good} served,"
-                f" {len(made.done)} faults, {len(lines)} broken",
+                f"seed {seed}: {len(soak_run.attempts)} tried, {served} served,"
+                f" {len(soak_run.fault_log)} faults, {len(violations)} broken",
                 flush=True,
             )
-            for line in lines[:5]:
-                print(f"  {line}  (logs in {folder})", flush=True)
-            if lines:
-                failed.append(seed)
-                (folder / "faults.txt").write_text("\n".join(made.done))
+            for violation in violations[:5]:
+                print(f"  {violation}  (logs in {folder})", flush=True)
+            if violations:
+                failed_seeds.append(seed)
+                (folder / "faults.txt").write_text(
+                    "\n".join(soak_run.fault_log)
+                )
             else:
                 shutil.rmtree(folder)
 
-    first = arguments.first or int(time.time())
-    seeds = [*range(first, first + arguments.seeds)]
+    first_seed = arguments.first or int(time.time())
+    seeds = [*range(first_seed, first_seed + arguments.seeds)]
     if arguments.regressions:
         seeds = [*regressions.SEEDS]
-    await asyncio.gather(*(one(seed) for seed in seeds))
-    print(f"{len(failed)} of {len(seeds)} seeds broke: {sorted(failed)}")
-    return failed
+    await asyncio.gather(*(run_seed(seed) for seed in seeds))
+    print(
+        f"{len(failed_seeds)} of {len(seeds)} seeds failed:"
+        f" {sorted(failed_seeds)}"
+    )
+    return failed_seeds
 
 
 if __name__ == "__main__":
--- a/testing/soak/callers.py
+++ b/testing/soak/callers.py
@@ -1,93 +1,98 @@
-"""Callers of the soak: kept connections, every kind of route, all noted."""
+"""Callers of the soak.
+
+They reuse connections, use every kind of route and record all attempts.
+"""
 
 import asyncio
 from typing import NamedTuple
 
 import aiohttp
-import platform_world
+import platform_fixtures
 
-from soak import runners
+from soak import endpoints
 
 DEADLINE_S = 2.0
-PATIENCE_S = 6.0
-PAUSE_S = 0.03
-KINDS = {
+RESPONSE_TIMEOUT_S = 6.0
+MAX_PAUSE_S = 0.03
+REQUEST_BY_KIND = {
     "idempotent": ("GET", "/a/x", b""),
     "once": ("POST", "/o/x", b"claim"),
     "stream": ("POST", "/s/x", b"prompt"),
 }
 
 
-class Tried(NamedTuple):
-    """One attempt of a caller and what became of it.
+class Attempt(NamedTuple):
+    """One attempt of a caller and its outcome.
 
     Attributes:
-        request_id: Its id.
-        kind: Key of ``KINDS``.
-        asked: What it asked for, as ``runners.asked_for`` says it.
-        entry: IP of the entry.
-        status: Status, 0 if no head of an answer came.
-        body: What came of the body.
-        complete: Whether the answer ended as complete.
-        sent_at: When it was sent, in seconds.
+        request_id: Id of the attempt.
+        kind: Key of ``REQUEST_BY_KIND``.
+        signature: ``endpoints.request_signature`` of the request.
+        entry_ip: IP address of the entry.
+        status: Response status, 0 if no response head was received.
+        body: Received part of the response body.
+        complete: Whether the response ended normally.
+        sent_at: Event loop time of sending, in seconds.
     """
 
     request_id: str
     kind: str
-    asked: str
-    entry: str
+    signature: str
+    entry_ip: str
     status: int
     body: bytes
     complete: bool
     sent_at: float
 
 
-async def run(world, name, rng, tried):
-    """Sends requests one after the other until cancelled."""
+async def run(cluster, name, rng, attempts):
+    """Sends requests sequentially until cancelled."""
     number = 0
-    timeout = aiohttp.ClientTimeout(total=PATIENCE_S)
+    timeout = aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout) as session:
         while True:
             number += 1
-            kind = rng.choice(list(KINDS))
-            entry = rng.choice(world.entries)
-            tried.append(
-                await _try(world, session, f"{name}-{number}", kind, entry)
+            kind = rng.choice(list(REQUEST_BY_KIND))
+            entry_ip = rng.choice(cluster.entry_ips)
+            attempts.append(
+                await _send_request(
+                    cluster, session, f"{name}-{number}", kind, entry_ip
+                )
             )
-            await asyncio.sleep(PAUSE_S * rng.random())
+            await asyncio.sleep(MAX_PAUSE_S * rng.random())
 
 
-async def _try(world, session, request_id, kind, entry):
-    method, path, body = KINDS[kind]
+async def _send_request(cluster, session, request_id, kind, entry_ip):
+    method, path, body = REQUEST_BY_KIND[kind]
     target = f"{path}?n={request_id}"
     headers = {
-        "Host": platform_world.HOST,
+        "Host": platform_fixtures.HOST,
         "X-Key": "key",
         "X-Attempt-Id": request_id,
         "X-Deadline-Ms": str(int(DEADLINE_S * 1000)),
     }
-    status, data, complete = 0, b"", False
+    status, received, complete = 0, b"", False
     sent_at = asyncio.get_running_loop().time()
     try:
         async with session.request(
             method,
-            f"http://{entry}:{world.callers}{target}",
+            f"http://{entry_ip}:{cluster.callers_port}{target}",
             data=body or None,
             headers=headers,
         ) as response:
             status = response.status
             async for chunk in response.content.iter_any():
-                data += chunk
+                received += chunk
             complete = True
     except (aiohttp.ClientError, TimeoutError, OSError):
         pass
-    return Tried(
+    return Attempt(
         request_id,
         kind,
-        runners.asked_for(method, target, body),
-        entry,
+        endpoints.request_signature(method, target, body),
+        entry_ip,
         status,
-        data,
+        received,
         complete,
         sent_at,
     )
--- a/testing/soak/checks.py
+++ b/testing/soak/checks.py
@@ -1,66 +1,102 @@
-"""What must hold in a soak, from what callers and endpoints saw."""
+"""Checks the invariants of a soak on the records of callers and endpoints."""
 
 import collections
 
-from soak import runners
+from soak import endpoints
 
-REFUSALS = (408, 421, 429, 503)
-"""Statuses that promise that a request has not run and never will."""
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+"""Statuses which guarantee that a request was not and will not be executed."""
 
 
-def broken(tried, runs, leaving):
-    """Returns what was broken, one line each.
+def find_violations(attempts, arrivals, no_traffic_windows):
+    """Returns the violated invariants, one line each.
 
     Args:
-        tried: Attempts of callers, ended or not.
-        runs: Arrivals at endpoints.
-        leaving: (endpoint, from, until) in which nothing may arrive.
+        attempts: Attempts of callers, ended or not.
+        arrivals: Arrivals of requests at endpoints.
+        no_traffic_windows: (endpoint, from, until) without any arrival.
     """
-    by_id = {each.request_id: each for each in tried}
-    count = collections.Counter(run.request_id for run in runs)
-    lines = []
-    for each in tried:
-        lines += _check_answer(each)
-        lines += _check_count(each, count[each.request_id])
-    lines += _check_runs(runs, by_id)
-    for name, since, until in leaving:
-        late = [r for r in runs if r.endpoint == name and since < r.at < until]
-        if late:
-            lines.append(f"{name} got {late[0].request_id} after it left")
-    return lines
+    attempts_by_id = {attempt.request_id: attempt for attempt in attempts}
+    arrival_counts = collections.Counter(
+        arrival.request_id for arrival in arrivals
+    )
+    violations = []
+    for attempt in attempts:
+        violations += _check_response(attempt)
+        violations += _check_arrival_count(
+            attempt, arrival_counts[attempt.request_id]
+        )
+    violations += _check_signatures(arrivals, attempts_by_id)
+    for endpoint_id, window_start, window_end in no_traffic_windows:
+        late_arrivals = [
+            a
+            for a in arrivals
+            if a.endpoint_id == endpoint_id
+            and window_start < a.received_at < window_end
+        ]
+        if late_arrivals:
+            violations.append(
+                f"{endpoint_id} received {late_arrivals[0].request_id}"
+                " after its drain was acknowledged"
+            )
+    return violations
 
 
-def _check_answer(each):
-    if each.status != 200:
-        if each.status >= 500 or each.status in REFUSALS or not each.status:
+def _check_response(attempt):
+    if attempt.status != 200:
+        if (
+            attempt.status >= 500
+            or attempt.status in NOT_EXECUTED_STATUSES
+            or not attempt.status
+        ):
             return []
-        return [f"{each.request_id}: proper, answered {each.status}"]
-    if each.kind != "stream":
-        right = runners.answer_to(each.request_id, each.asked)
-        if each.complete and each.body != right:
-            return [f"{each.request_id}: answered {each.body!r}"]
+        return [
+            f"{attempt.request_id}: valid request answered with"
+            f" {attempt.status}"
+        ]
+    if attempt.kind != "stream":
+        expected = endpoints.expected_body(
+            attempt.request_id, attempt.signature
+        )
+        if attempt.complete and attempt.body != expected:
+            return [f"{attempt.request_id}: unexpected body {attempt.body!r}"]
         return []
-    right = runners.whole_stream(each.request_id)
-    if not right.startswith(each.body):
-        return [f"{each.request_id}: stream {each.body!r}"]
-    if each.complete and each.body != right:
-        return [f"{each.request_id}: cut at {len(each.body)} looks complete"]
+    expected = endpoints.expected_stream(attempt.request_id)
+    if not expected.startswith(attempt.body):
+        return [f"{attempt.request_id}: unexpected stream {attempt.body!r}"]
+    if attempt.complete and attempt.body != expected:
+        return [
+            f"{attempt.request_id}: truncated at {len(attempt.body)} bytes"
+            " but ended as complete"
+        ]
     return []
 
 
-def _check_count(each, count):
-    lines = []
-    if each.kind == "once" and count > 1:
-        lines.append(f"{each.request_id}: ran {count} times")
-    if each.kind == "once" and count and each.status in REFUSALS:
-        lines.append(f"{each.request_id}: ran, refused with {each.status}")
-    return lines
+def _check_arrival_count(attempt, arrival_count):
+    violations = []
+    if attempt.kind == "once" and arrival_count > 1:
+        violations.append(
+            f"{attempt.request_id}: executed {arrival_count} times"
+        )
+    if (
+        attempt.kind == "once"
+        and arrival_count
+        and attempt.status in NOT_EXECUTED_STATUSES
+    ):
+        violations.append(
+            f"{attempt.request_id}: executed although refused with"
+            f" {attempt.status}"
+        )
+    return violations
 
 
-def _check_runs(runs, by_id):
-    lines = []
-    for run in runs:
-        sent = by_id.get(run.request_id)
-        if sent is not None and sent.asked != run.asked:
-            lines.append(f"{run.request_id}: {run.endpoint} ran {run.asked}")
-    return lines
+def _check_signatures(arrivals, attempts_by_id):
+    violations = []
+    for arrival in arrivals:
+        attempt = attempts_by_id.get(arrival.request_id)
+        if attempt is not None and attempt.signature != arrival.signature:
+            violations.append(
+                f"{arrival.request_id}: {arrival.endpoint_id} executed"
+                f" a different request: {arrival.signature}"
+            )
+    return violations
--- a/testing/soak/faults.py
+++ b/testing/soak/faults.py
@@ -1,119 +1,126 @@
-"""Faults of the soak, each healed by itself after a while."""
+"""Faults of the soak; each one reverts its effect before it returns."""
 
 import asyncio
 import shutil
 import signal
 
-import platform_world
+import platform_fixtures
 
 
 async def kill_entry(soak, rng):
-    """Ends an entry without warning and starts it again."""
-    ip = rng.choice(soak.world.entries)
-    async with soak.holding(ip):
-        soak.world.kill(ip)
+    """Kills an entry and starts it again."""
+    ip = rng.choice(soak.cluster.entry_ips)
+    async with soak.exclusive_access(ip):
+        soak.cluster.kill(ip)
         await asyncio.sleep(rng.uniform(0.1, 0.8))
-        soak.world.start_entry(ip)
+        soak.cluster.start_entry(ip)
 
 
 async def restart_entry(soak, rng):
-    """Stops an entry as a deployment does and starts it again."""
-    ip = rng.choice(soak.world.entries)
-    async with soak.holding(ip):
-        process = soak.world.running.pop(ip)
+    """Stops an entry with SIGTERM, as a deployment does, and restarts it."""
+    ip = rng.choice(soak.cluster.entry_ips)
+    async with soak.exclusive_access(ip):
+        process = soak.cluster.processes.pop(ip)
         process.send_signal(signal.SIGTERM)
         await asyncio.to_thread(process.wait, 15)
-        soak.world.start_entry(ip)
+        soak.cluster.start_entry(ip)
 
 
 async def freeze(soak, rng):
-    """Pauses a process; its connections stay open."""
-    ip = rng.choice([*soak.world.entries, *soak.world.controls])
-    async with soak.holding(ip):
-        process = soak.world.running[ip]
+    """Suspends a process; its connections stay open."""
+    ip = rng.choice([*soak.cluster.entry_ips, *soak.cluster.control_ips])
+    async with soak.exclusive_access(ip):
+        process = soak.cluster.processes[ip]
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(0.2, 2.5))
         process.send_signal(signal.SIGCONT)
 
 
 async def reload(soak, rng):
-    """Has a process read its settings again."""
-    ip = rng.choice([*soak.world.entries, *soak.world.controls])
-    async with soak.holding(ip):
-        process = soak.world.running[ip]
-        if platform_world.runs_python(process):
+    """Makes a process reload its settings."""
+    ip = rng.choice([*soak.cluster.entry_ips, *soak.cluster.control_ips])
+    async with soak.exclusive_access(ip):
+        process = soak.cluster.processes[ip]
+        if platform_fixtures.handles_signals(process):
             process.send_signal(signal.SIGHUP)
 
 
 async def kill_control(soak, rng):
-    """Ends a member of control, or all of them at once."""
-    everyone = rng.random() < 0.25
-    ips = soak.world.controls if everyone else [rng.choice(soak.world.controls)]
-    async with soak.holding(*ips):
+    """Kills one control process, or all of them at once."""
+    kill_all = rng.random() < 0.25
+    ips = (
+        soak.cluster.control_ips
+        if kill_all
+        else [rng.choice(soak.cluster.control_ips)]
+    )
+    async with soak.exclusive_access(*ips):
         for ip in ips:
-            soak.world.kill(ip)
+            soak.cluster.kill(ip)
         await asyncio.sleep(rng.uniform(0.1, 1.0))
         for ip in ips:
-            soak.world.start_control(ip)
+            soak.cluster.start_control(ip)
 
 
 async def lose_disk(soak, rng):
-    """Takes one member's disk; the group is whole again before the next."""
-    if soak.repairing.locked():
+    """Removes one member's disk; waits for three voters before the next."""
+    if soak.disk_repair_lock.locked():
         return
-    ip = rng.choice(soak.world.controls)
-    async with soak.repairing, soak.holding(*soak.world.controls):
-        await soak.until_whole()
-        soak.world.kill(ip)
-        shutil.rmtree(soak.world.folder / ip)
-        soak.world.start_control(ip)
-        await soak.until_whole()
+    ip = rng.choice(soak.cluster.control_ips)
+    async with (
+        soak.disk_repair_lock,
+        soak.exclusive_access(*soak.cluster.control_ips),
+    ):
+        await soak.wait_for_full_group()
+        soak.cluster.kill(ip)
+        shutil.rmtree(soak.cluster.folder / ip)
+        soak.cluster.start_control(ip)
+        await soak.wait_for_full_group()
 
 
 async def disturb_connections(soak, rng):
-    """Delays, holds one way or both, or resets an endpoint's connections."""
-    runner = rng.choice(soak.runners)
-    if runner.beating is None:
+    """Delays, blocks (one or both directions) or resets connections."""
+    endpoint = rng.choice(soak.endpoints)
+    if endpoint.heartbeat_task is None:
         return
-    proxy = runner.proxy
-    how = rng.choice(["delay", "to", "back", "silent", "reset"])
-    if how == "delay":
+    proxy = endpoint.proxy
+    connection_fault = rng.choice(["delay", "to", "back", "silent", "reset"])
+    if connection_fault == "delay":
         proxy.delay_s = rng.uniform(0.05, 0.4)
-    elif how == "silent":
-        proxy.hold("to", "back")
-    elif how == "reset":
-        proxy.reset()
+    elif connection_fault == "silent":
+        proxy.block("to", "back")
+    elif connection_fault == "reset":
+        proxy.reset_connections()
     else:
-        proxy.hold(how)
+        proxy.block(connection_fault)
     await asyncio.sleep(rng.uniform(0.2, 2.0))
-    proxy.heal()
+    proxy.restore()
 
 
 async def kill_endpoint(soak, rng):
-    """Ends an endpoint; another process takes its id elsewhere."""
-    runner = rng.choice(soak.runners)
-    if runner.beating is None or runner.state != "ready":
+    """Kills an endpoint; a new process takes over its id at a new address."""
+    endpoint = rng.choice(soak.endpoints)
+    if endpoint.heartbeat_task is None or endpoint.state != "ready":
         return
-    await runner.stop()
+    await endpoint.stop()
     await asyncio.sleep(rng.uniform(0.1, 1.0))
-    await runner.start()
+    await endpoint.start()
 
 
 async def drain_endpoint(soak, rng):
-    """Has an endpoint leave and come back."""
-    runner = rng.choice(soak.runners)
-    if runner.beating is None or runner.state != "ready":
+    """Drains an endpoint and starts it again."""
+    endpoint = rng.choice(soak.endpoints)
+    if endpoint.heartbeat_task is None or endpoint.state != "ready":
         return
-    await runner.leave()
-    soak.note_left(runner)
-    await runner.start()
+    await endpoint.drain()
+    soak.record_drain(endpoint)
+    await endpoint.start()
 
 
 async def publish(soak, rng):
-    """Publishes the next version, and sometimes the same one again."""
-    await soak.publish()
+    """Publishes the next version, and sometimes repeats the request."""
+    await soak.publish_config()
     if rng.random() < 0.3:
-        await soak.publish(again=True)
+        await soak.publish_config(repeat=True)
 
 
 ALL = (
--- a/testing/soak/proxy.py
+++ b/testing/soak/proxy.py
@@ -1,82 +1,85 @@
-"""A loopback proxy that delays, holds and resets connections."""
+"""Loopback proxy that delays, blocks and resets connections."""
 
 import asyncio
 
 CHUNK_BYTES = 64 * 1024
 
 
-class Proxy:
-    """Passes connections on to one target and disturbs them.
+class FaultProxy:
+    """Forwards connections to one target and injects faults into them.
 
     Attributes:
-        target: ``IP:port`` that connections go to.
-        delay_s: Time by which each chunk is late.
-        flows: Events that are set while bytes flow, by direction: ``to`` the
-            target and ``back`` from it. A direction that is held keeps its
-            bytes, as a cut does until packets are sent again.
+        target: ``IP:port`` to which connections are forwarded.
+        delay_s: Delay of each chunk.
+        flowing: Events that are set while bytes are forwarded, by direction:
+            ``to`` the target and ``back`` from it. A blocked direction keeps
+            its bytes, as a network partition does until packets are
+            retransmitted.
     """
 
     def __init__(self, *, target):
         self.target = target
         self.delay_s = 0.0
-        self.flows = {"to": asyncio.Event(), "back": asyncio.Event()}
-        self.writers = set()
+        self.flowing = {"to": asyncio.Event(), "back": asyncio.Event()}
+        self.open_writers = set()
         self.server = None
-        self.heal()
+        self.restore()
 
     async def start(self):
-        """Listens; returns the address to use in the target's place."""
-        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        """Listens; returns the address to use instead of the target's."""
+        self.server = await asyncio.start_server(
+            self._handle_connection, "127.0.0.1", 0
+        )
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def stop(self):
         self.server.close()
-        self.reset()
+        self.reset_connections()
 
-    def hold(self, *directions):
+    def block(self, *directions):
         for direction in directions:
-            self.flows[direction].clear()
+            self.flowing[direction].clear()
 
-    def heal(self):
+    def restore(self):
         self.delay_s = 0.0
-        for flow in self.flows.values():
-            flow.set()
+        for event in self.flowing.values():
+            event.set()
 
-    def reset(self):
+    def reset_connections(self):
         """Resets all open connections."""
-        for writer in list(self.writers):
+        for writer in list(self.open_writers):
             writer.transport.abort()
 
-    async def _serve(self, reader, writer):
+    async def _handle_connection(self, reader, writer):
         host, _, port = self.target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 host, int(port)
             )
         except OSError:
             writer.transport.abort()
             return
-        ends = {writer, far_writer}
-        self.writers |= ends
+        connection_writers = {writer, target_writer}
+        self.open_writers |= connection_writers
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, "to"),
-                self._pump(far_reader, writer, "back"),
+                self._forward(reader, target_writer, "to"),
+                self._forward(target_reader, writer, "back"),
             )
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            self.writers -= ends
-            for each in ends:
-                each.transport.abort()
+            self.open_writers -= connection_writers
+            for connection_writer in connection_writers:
+                connection_writer.transport.abort()
 
-    async def _pump(self, reader, writer, direction):
-        while data := await reader.read(CHUNK_BYTES):
+    async def _forward(self, reader, writer, direction):
+        while chunk := await reader.read(CHUNK_BYTES):
             if self.delay_s:
                 await asyncio.sleep(self.delay_s)
-            await self.flows[direction].wait()
-            writer.write(data)
+            await self.flowing[direction].wait()
+            writer.write(chunk)
             await writer.drain()
-        await self.flows[direction].wait()
+        await self.flowing[direction].wait()
         if writer.can_write_eof():
             writer.write_eof()
--- a/testing/soak/soak.py
+++ b/testing/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: processes, endpoints, callers, faults, and what must hold."""
+"""One soak: starts all parts, injects faults and checks the invariants."""
 
 import asyncio
 import contextlib
@@ -6,232 +6,261 @@
 import random
 
 import aiohttp
-import platform_world
+import platform_fixtures
 import process_fixtures
 
 from soak import callers
 from soak import checks
+from soak import endpoints
 from soak import faults
-from soak import runners
 
-CALLERS = 5
-ENDPOINTS = 4
-LANES = 2
-"""Series of faults that overlap."""
-PAUSE_S = 0.4
-CALM_S = 3.0
-"""Time after a disturbance of a process in which it owes nothing in time."""
-DRAIN_S = 2.0
-"""Time after which an endpoint whose leaving was acknowledged gets nothing."""
-PATHS = ("/a/", "/o/", "/s/")
+CALLER_COUNT = 5
+ENDPOINT_COUNT = 4
+CONCURRENT_FAULTS = 2
+"""Tasks that inject faults at the same time."""
+MAX_FAULT_PAUSE_S = 0.4
+RECOVERY_ALLOWANCE_S = 3.0
+"""Time after a fault in which a process need not be up to date."""
+DRAIN_PROPAGATION_S = 2.0
+"""Time after an acknowledged drain until no request may arrive any more."""
+PATH_PREFIXES = ("/a/", "/o/", "/s/")
 
 
 class Soak:
     """State of one soak.
 
     Attributes:
-        world: The processes.
-        runners: The endpoints.
-        runs: Arrivals at endpoints.
-        tried: Attempts of callers.
-        sent: Configuration by version.
-        acked: Highest version that was acknowledged.
-        leaving: (endpoint, from, until) in which nothing may arrive.
-        disturbed_at: When a process was last disturbed, by IP.
-        done: Times and names of the faults that were injected.
+        cluster: The control and entry processes.
+        endpoints: The endpoints.
+        arrivals: Arrivals of requests at endpoints.
+        attempts: Attempts of callers.
+        published_configs: Configuration by version.
+        acked_version: Highest version that was acknowledged.
+        no_traffic_windows: (endpoint, from, until) without any arrival.
+        last_fault_at: End of the last fault of a process, by IP address.
+        fault_log: Times and names of the injected faults.
     """
 
-    def __init__(self, *, folder, seed, net):
+    def __init__(self, *, folder, seed, network_octet):
         self.rng = random.Random(seed)
-        self.world = platform_world.World(folder, net)
-        self.runs = []
-        self.runners = runners.make(self.world, ENDPOINTS, self.runs)
-        self.tried = []
-        self.sent = {}
-        self.acked = 0
-        self.version = 0
-        self.leaving = []
-        self.disturbed_at = {}
-        self.locks = {
+        self.cluster = platform_fixtures.PlatformCluster(folder, network_octet)
+        self.arrivals = []
+        self.endpoints = endpoints.make_endpoints(
+            self.cluster, ENDPOINT_COUNT, self.arrivals
+        )
+        self.attempts = []
+        self.published_configs = {}
+        self.acked_version = 0
+        self.last_version = 0
+        self.no_traffic_windows = []
+        self.last_fault_at = {}
+        self.process_locks = {
             ip: asyncio.Lock()
-            for ip in [*self.world.controls, *self.world.entries]
+            for ip in [*self.cluster.control_ips, *self.cluster.entry_ips]
         }
-        self.repairing = asyncio.Lock()
-        self.done = []
+        self.disk_repair_lock = asyncio.Lock()
+        self.fault_log = []
 
     @contextlib.asynccontextmanager
-    async def holding(self, *ips):
-        """Disturbs processes that nobody else disturbs meanwhile."""
+    async def exclusive_access(self, *ips):
+        """Keeps other faults away from processes and records the end time."""
         async with contextlib.AsyncExitStack() as stack:
             for ip in sorted(ips):
-                await stack.enter_async_context(self.locks[ip])
+                await stack.enter_async_context(self.process_locks[ip])
             try:
                 yield
             finally:
                 now = asyncio.get_running_loop().time()
-                self.disturbed_at |= dict.fromkeys(ips, now)
-
-    def note_left(self, runner):
-        """Notes when nothing could arrive any more, if all were in touch."""
-        acked = runner.acked_leaving_at
-        calm = all(
-            not lock.locked() and at < (acked or 0) - CALM_S
-            for ip, lock in self.locks.items()
-            for at in [self.disturbed_at.get(ip, 0.0)]
+                self.last_fault_at |= dict.fromkeys(ips, now)
+
+    def record_drain(self, endpoint):
+        """Records the time without traffic, if no fault delayed the drain."""
+        drain_acked_at = endpoint.drain_acked_at
+        undisturbed = all(
+            not lock.locked()
+            and fault_at < (drain_acked_at or 0) - RECOVERY_ALLOWANCE_S
+            for ip, lock in self.process_locks.items()
+            for fault_at in [self.last_fault_at.get(ip, 0.0)]
+        )
+        if drain_acked_at is not None and undisturbed:
+            stopped_at = asyncio.get_running_loop().time()
+            self.no_traffic_windows.append(
+                (
+                    endpoint.name,
+                    drain_acked_at + DRAIN_PROPAGATION_S,
+                    stopped_at,
+                )
+            )
+
+    async def publish_config(self, *, repeat=False):
+        """Publishes the next version, or repeats the last one."""
+        if not repeat:
+            self.last_version += self.rng.randint(1, 3)
+        version = self.last_version
+        config = platform_fixtures.make_config(
+            version, *PATH_PREFIXES, f"/v{version}/"
         )
-        if acked is not None and calm:
-            until = asyncio.get_running_loop().time()
-            self.leaving.append((runner.name, acked + DRAIN_S, until))
-
-    async def publish(self, *, again=False):
-        """Sends the next version, or the last one once more."""
-        if not again:
-            self.version += self.rng.randint(1, 3)
-        version = self.version
-        config = platform_world.config(version, *PATHS, f"/v{version}/")
         config["routes"][1]["route_kind"] = "non_idempotent"
         config["routes"][1]["max_attempts"] = 1
         config["routes"][2] |= {
             "route_kind": "streaming",
             "stream_resumption": True,
         }
-        self.sent[version] = config
-        ip = self.rng.choice(self.world.controls)
-        url = f"http://{ip}:{self.world.operators}/v1/Configuration.Replace"
-        status, _ = await self.world.call("POST", url, json=config)
+        self.published_configs[version] = config
+        ip = self.rng.choice(self.cluster.control_ips)
+        url = f"http://{ip}:{self.cluster.operators_port}/v1/Configuration.Replace"
+        status, _ = await self.cluster.http_request("POST", url, json=config)
         if status == 200:
-            self.acked = max(self.acked, version)
+            self.acked_version = max(self.acked_version, version)
         return status == 200
 
-    async def until_whole(self):
-        """Waits until the group of control has three voters that answer."""
+    async def wait_for_full_group(self):
+        """Waits until the control group has three voters that answer."""
 
-        async def whole():
-            url = f"http://{{}}:{self.world.operators}/v1/Configuration.Read"
-            found = [
-                (await self.world.call("GET", url.format(ip)))[0]
-                for ip in self.world.controls
+        async def is_full():
+            url = f"http://{{}}:{self.cluster.operators_port}/v1/Configuration.Read"
+            statuses = [
+                (await self.cluster.http_request("GET", url.format(ip)))[0]
+                for ip in self.cluster.control_ips
             ]
-            return found == [200] * len(found) and await self._three_voters()
+            return (
+                statuses == [200] * len(statuses)
+                and await self._has_three_voters()
+            )
 
-        await process_fixtures.wait_until(whole)
+        await process_fixtures.wait_until(is_full)
 
-    async def _three_voters(self):
-        control = ",".join(
-            f"{ip}:{self.world.link}" for ip in self.world.controls
+    async def _has_three_voters(self):
+        control_addresses = ",".join(
+            f"{ip}:{self.cluster.internal_port}"
+            for ip in self.cluster.control_ips
         )
         process = await asyncio.create_subprocess_exec(
-            process_fixtures.BIN / "arbutuswalk",
+            process_fixtures.SCRIPT_FOLDER / "arbutuswalk",
             "status",
             "--control",
-            control,
+            control_addresses,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.DEVNULL,
         )
         output, _ = await process.communicate()
-        present = [
-            (self.world.folder / ip / "identity").exists()
-            for ip in self.world.controls
+        identity_present = [
+            (self.cluster.folder / ip / "identity").exists()
+            for ip in self.cluster.control_ips
         ]
-        return all(present) and output.decode().count(f":{self.world.link}") > 2
+        return (
+            all(identity_present)
+            and output.decode().count(f":{self.cluster.internal_port}") > 2
+        )
 
     async def run(self, seconds):
-        """Runs the soak; returns what was broken, one line each."""
-        self.world.session = aiohttp.ClientSession()
+        """Runs the soak; returns the violated invariants, one line each."""
+        self.cluster.session = aiohttp.ClientSession()
         try:
-            await self._begin()
-            await self._disturb(seconds)
-            return await self._heal_and_check()
+            await self._start()
+            await self._run_load_and_faults(seconds)
+            return await self._restore_and_check()
         except AssertionError as error:
-            return [f"never healed: {error}", *self.down()]
+            return [f"did not recover: {error}", *self.stopped_processes()]
         finally:
-            await self._end()
+            await self._stop()
 
-    async def _begin(self):
-        for ip in self.world.controls:
-            self.world.start_control(ip)
-        for ip in self.world.entries:
-            self.world.start_entry(ip)
-        for runner in self.runners:
-            await runner.start()
+    async def _start(self):
+        for ip in self.cluster.control_ips:
+            self.cluster.start_control(ip)
+        for ip in self.cluster.entry_ips:
+            self.cluster.start_entry(ip)
+        for endpoint in self.endpoints:
+            await endpoint.start()
 
         async def published():
-            return await self.publish()
+            return await self.publish_config()
 
         await process_fixtures.wait_until(published)
-        for ip in self.world.entries:
-            await self.world.until_status(ip, 200)
+        for ip in self.cluster.entry_ips:
+            await self.cluster.wait_for_status(ip, 200)
 
-    async def _disturb(self, seconds):
-        asking = [
+    async def _run_load_and_faults(self, seconds):
+        caller_tasks = [
             asyncio.ensure_future(
                 callers.run(
-                    self.world,
+                    self.cluster,
                     f"c{number}",
                     random.Random(self.rng.random()),
-                    self.tried,
+                    self.attempts,
                 )
             )
-            for number in range(CALLERS)
+            for number in range(CALLER_COUNT)
         ]
-        lanes = [
+        fault_tasks = [
             asyncio.ensure_future(
-                self._lane(random.Random(self.rng.random()), seconds)
+                self._inject_faults(random.Random(self.rng.random()), seconds)
             )
-            for _ in range(LANES)
+            for _ in range(CONCURRENT_FAULTS)
         ]
         try:
-            await asyncio.gather(*lanes)
+            await asyncio.gather(*fault_tasks)
         finally:
-            for task in [*asking, *lanes]:
+            for task in [*caller_tasks, *fault_tasks]:
                 task.cancel()
-            await asyncio.gather(*asking, *lanes, return_exceptions=True)
+            await asyncio.gather(
+                *caller_tasks, *fault_tasks, return_exceptions=True
+            )
 
-    async def _lane(self, rng, seconds):
+    async def _inject_faults(self, rng, seconds):
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        while loop.time() < until:
-            await asyncio.sleep(rng.uniform(0, PAUSE_S))
+        end = loop.time() + seconds
+        while loop.time() < end:
+            await asyncio.sleep(rng.uniform(0, MAX_FAULT_PAUSE_S))
             fault = rng.choice(faults.ALL)
-            self._note(fault, "begins")
+            self._log_fault(fault, "begins")
             await fault(self, rng)
-            self._note(fault, "ends")
+            self._log_fault(fault, "ends")
 
-    def _note(self, fault, what):
+    def _log_fault(self, fault, phase):
         at = asyncio.get_running_loop().time()
-        self.done.append(f"{at:.3f} {fault.__name__} {what}")
+        self.fault_log.append(f"{at:.3f} {fault.__name__} {phase}")
 
-    def down(self):
-        """Returns processes that should run and do not."""
-        ips = [*self.world.controls, *self.world.entries]
+    def stopped_processes(self):
+        """Returns a line for each process that has stopped unexpectedly."""
+        ips = [*self.cluster.control_ips, *self.cluster.entry_ips]
         return [
-            f"{ip} is down: {process and process.poll()}"
+            f"{ip} is not running, exit status: {process and process.poll()}"
             for ip in ips
-            for process in [self.world.running.get(ip)]
+            for process in [self.cluster.processes.get(ip)]
             if process is None or process.poll() is not None
         ]
 
-    async def _heal_and_check(self):
-        for runner in self.runners:
-            runner.proxy.heal()
-            if runner.beating is None:
-                await runner.start()
-        await self.until_whole()
-        lines = self.down()
-        lines += checks.broken(self.tried, self.runs, self.leaving)
-        status, data = await self.world.operate("GET", "/v1/Configuration.Read")
-        found = json.loads(data) if status == 200 else {}
-        version = found.get("version", 0)
-        if version < self.acked:
-            lines.append(f"version {self.acked} acknowledged, {version} left")
-        if found != self.sent.get(version):
-            lines.append(f"version {version} is not what was sent")
-        for ip in self.world.entries:
-            await self.world.until_status(ip, 200, f"/v{version}/x")
-        return lines
-
-    async def _end(self):
-        for runner in self.runners:
-            await runner.stop()
-        await self.world.session.close()
-        self.world.group.end()
+    async def _restore_and_check(self):
+        for endpoint in self.endpoints:
+            endpoint.proxy.restore()
+            if endpoint.heartbeat_task is None:
+                await endpoint.start()
+        await self.wait_for_full_group()
+        violations = self.stopped_processes()
+        violations += checks.find_violations(
+            self.attempts, self.arrivals, self.no_traffic_windows
+        )
+        status, data = await self.cluster.call_control(
+            "GET", "/v1/Configuration.Read"
+        )
+        config = json.loads(data) if status == 200 else {}
+        version = config.get("version", 0)
+        if version < self.acked_version:
+            violations.append(
+                f"version {self.acked_version} was acknowledged,"
+                f" but {version} is in force"
+            )
+        if config != self.published_configs.get(version):
+            violations.append(
+                f"version {version} differs from the published configuration"
+            )
+        for ip in self.cluster.entry_ips:
+            await self.cluster.wait_for_status(ip, 200, f"/v{version}/x")
+        return violations
+
+    async def _stop(self):
+        for endpoint in self.endpoints:
+            await endpoint.stop()
+        await self.cluster.session.close()
+        self.cluster.process_group.stop_all()
--- a/testing/test_crash_processes.py
+++ b/testing/test_crash_processes.py
@@ -1,4 +1,4 @@
-"""A request that crashes runners, resent to real processes by its callers."""
+"""Real processes and a crashing request that its callers resend."""
 
 import asyncio
 import json
@@ -9,89 +9,104 @@
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-RUNNERS = 4
-MOST_DEATHS = 2
-"""Runners that one such request may cost, as the design promises."""
-INNOCENTS, INNOCENT_PAUSE_S = 200, 0.025
-RESENDS, RESEND_PAUSE_S = 50, 0.05
-QUARANTINED = 422
+RUNNER_COUNT = 4
+MAX_DEAD_RUNNERS = 2
+"""Runners that one crashing request may kill by design."""
+HARMLESS_REQUESTS, HARMLESS_INTERVAL_S = 200, 0.025
+POISON_REQUESTS, POISON_INTERVAL_S = 50, 0.05
+QUARANTINED_STATUS = 422
 
 
-async def complete(session, address, prompt):
-    """Sends one request; returns status and body."""
+async def send_completion(session, address, prompt):
+    """Sends one completion request; returns status and body."""
     body = {"model": "model", "prompt": prompt, "max_tokens": 8}
-    headers = {**process_fixtures.HEADERS, "X-Deadline-Ms": "10000"}
+    headers = {**process_fixtures.CALLER_HEADERS, "X-Deadline-Ms": "10000"}
     async with session.post(
         f"http://{address}/v1/completions", json=body, headers=headers
     ) as response:
         return response.status, (await response.read()).decode()
 
 
-async def send_series(session, entries, prompts, pause_s):
-    """Sends prompts to the entries in turn; returns (prompt, answer)."""
+async def send_prompts(session, entry_addresses, prompts, interval_s):
+    """Sends prompts to the entries in turn; returns (prompt, response)."""
     tasks = []
     for i, prompt in enumerate(prompts):
-        address = entries[i % len(entries)]
-        tasks.append(asyncio.ensure_future(complete(session, address, prompt)))
-        await asyncio.sleep(pause_s)
-    answers = await asyncio.gather(*tasks)
-    return list(zip(prompts, answers, strict=True))
-
-
-async def make_deadly(session, world):
-    """Makes all runners die of one prompt."""
-    for i in range(RUNNERS):
+        address = entry_addresses[i % len(entry_addresses)]
+        tasks.append(
+            asyncio.ensure_future(send_completion(session, address, prompt))
+        )
+        await asyncio.sleep(interval_s)
+    responses = await asyncio.gather(*tasks)
+    return list(zip(prompts, responses, strict=True))
+
+
+async def make_poison_fatal(session, cluster):
+    """Makes one prompt crash every runner that executes it."""
+    for i in range(RUNNER_COUNT):
         async with session.post(
-            f"http://{world.others[i]}/standin/faults",
+            f"http://{cluster.upstream_addresses[i]}/standin/faults",
             data=json.dumps({"die_on": "poison"}),
         ) as response:
             assert response.status < 300
 
 
-def knows_all(address):
-    """Returns a check that the entry at a link address has all runners."""
+def knows_all_runners(address):
+    """Returns a predicate: the entry at ``address`` can use all runners."""
 
-    async def check():
-        asked = link.Link(address=address)
-        reply = await asked.call(ttypes.Dump(), timeout_s=1.0)
-        await asked.stop()
+    async def has_all_runners():
+        entry_link = link.Link(address=address)
+        reply = await entry_link.call(ttypes.Dump(), timeout_s=1.0)
+        await entry_link.stop()
         if not isinstance(reply, ttypes.DumpReply):
             return False
-        found = json.loads(reply.state)["upstreams"].values()
-        usable = [row for row in found if row["health"] == "usable"]
-        return len(usable) == RUNNERS
+        rows = json.loads(reply.state)["upstreams"].values()
+        usable_rows = [row for row in rows if row["health"] == "usable"]
+        return len(usable_rows) == RUNNER_COUNT
 
-    return check
+    return has_all_runners
 
 
 class TestCrashingRequests:
-    async def test_one_resent_everywhere_costs_two_runners_at_most(self, world):
-        """Each resend meets a runner before the first death is known."""
-        await world.begin()
-        for i in range(RUNNERS):
-            world.start_upstream(i, "runner", "model", token_s=0.01)
-        await process_fixtures.wait_until(world.in_force)
-        for address in world.links[:2]:
-            await process_fixtures.wait_until(knows_all(address))
-        entries = world.entries[:2]
+    async def test_one_resent_everywhere_costs_two_runners_at_most(
+        self, cluster
+    ):
+        """Each resend reaches a runner before the first crash is known."""
+        await cluster.start_all()
+        for i in range(RUNNER_COUNT):
+            cluster.start_upstream(i, "runner", "model", token_s=0.01)
+        await process_fixtures.wait_until(cluster.routes_in_force)
+        for address in cluster.link_addresses[:2]:
+            await process_fixtures.wait_until(knows_all_runners(address))
+        entry_addresses = cluster.entry_addresses[:2]
         async with aiohttp.ClientSession() as session:
-            await make_deadly(session, world)
-            innocents = [f"ref:i{i}" for i in range(INNOCENTS)]
-            served, crashing = await asyncio.gather(
-                send_series(session, entries, innocents, INNOCENT_PAUSE_S),
-                send_series(
+            await make_poison_fatal(session, cluster)
+            harmless_prompts = [f"ref:i{i}" for i in range(HARMLESS_REQUESTS)]
+            harmless_responses, poison_responses = await asyncio.gather(
+                send_prompts(
                     session,
-                    entries,
-                    ["ref:poison"] * RESENDS,
-                    RESEND_PAUSE_S,
+                    entry_addresses,
+                    harmless_prompts,
+                    HARMLESS_INTERVAL_S,
+                ),
+                send_prompts(
+                    session,
+                    entry_addresses,
+                    ["ref:poison"] * POISON_REQUESTS,
+                    POISON_INTERVAL_S,
                 ),
             )
-        dead = [
+        dead_runners = [
             i
-            for i in range(RUNNERS)
-            if world.group.running[f"u{i}"].poll() is not None
+            for i in range(RUNNER_COUNT)
+            if cluster.process_group.processes[f"u{i}"].poll() is not None
+        ]
+        failed_responses = [
+            (prompt, response)
+            for prompt, response in harmless_responses
+            if response[0] != 200
         ]
-        refused = [(p, a) for p, a in served if a[0] != 200]
-        assert refused == []
-        assert len(dead) <= MOST_DEATHS
-        assert {status for _, (status, _) in crashing} == {QUARANTINED}
+        assert failed_responses == []
+        assert len(dead_runners) <= MAX_DEAD_RUNNERS
+        assert {status for _, (status, _) in poison_responses} == {
+            QUARANTINED_STATUS
+        }
--- a/testing/test_platform_processes.py
+++ b/testing/test_platform_processes.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's interfaces, as real processes."""
+"""End-to-end tests of real processes on the platform's interfaces."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 import sys
 
 import aiohttp
-import platform_world
+import platform_fixtures
 import process_fixtures
 import pytest
 import relays
@@ -19,169 +19,185 @@
 
 
 @pytest.fixture
-async def world(tmp_path):
-    found = platform_world.World(tmp_path)
-    found.session = aiohttp.ClientSession()
-    yield found
-    for task in found.beating:
+async def cluster(tmp_path):
+    new_cluster = platform_fixtures.PlatformCluster(tmp_path)
+    new_cluster.session = aiohttp.ClientSession()
+    yield new_cluster
+    for task in new_cluster.heartbeat_tasks:
         task.cancel()
-    await asyncio.gather(*found.beating, return_exceptions=True)
-    await found.session.close()
-    found.group.end()
+    await asyncio.gather(*new_cluster.heartbeat_tasks, return_exceptions=True)
+    await new_cluster.session.close()
+    new_cluster.process_group.stop_all()
 
 
-class TestWholePath:
-    async def test_requests_configurations_and_lookups(self, world):
-        await world.begin("/a/")
-        for ip in world.controls:
-            url = f"http://{ip}:{world.lookups}/v1/resolution?name={platform_world.HOST}"
+class TestEndToEnd:
+    async def test_requests_configurations_and_lookups(self, cluster):
+        await cluster.start_all("/a/")
+        for ip in cluster.control_ips:
+            url = f"http://{ip}:{cluster.lookups_port}/v1/resolution?name={platform_fixtures.HOST}"
 
-            async def both(url=url):
-                status, data = await world.call("GET", url)
+            async def all_entries_resolved(url=url):
+                status, data = await cluster.http_request("GET", url)
                 return status == 200 and len(json.loads(data)["addresses"]) == 2
 
-            await process_fixtures.wait_until(both)
-        changed = platform_world.config(5, "/b/")
+            await process_fixtures.wait_until(all_entries_resolved)
+        config = platform_fixtures.make_config(5, "/b/")
         assert (
-            await world.operate("POST", "/v1/Configuration.Replace", changed)
+            await cluster.call_control(
+                "POST", "/v1/Configuration.Replace", config
+            )
         )[0] == 200
-        for ip in world.entries:
-            await world.until_status(ip, 404)
-            assert (await world.ask(ip, "/b/x"))[0] == 200
+        for ip in cluster.entry_ips:
+            await cluster.wait_for_status(ip, 404)
+            assert (await cluster.send_request(ip, "/b/x"))[0] == 200
         replace = "/v1/Configuration.Replace"
         for path, body, status in (
-            (replace, platform_world.config(4, "/c/"), 200),
+            (replace, platform_fixtures.make_config(4, "/c/"), 200),
             (
                 "/v1/Configuration.Replace",
-                platform_world.config(6, "/c/", "/c/"),
+                platform_fixtures.make_config(6, "/c/", "/c/"),
                 400,
             ),
             ("/v1/Rollouts.Begin", {"service": "ops"}, 400),
         ):
-            assert (await world.operate("POST", path, body))[0] == status
-        for ip in world.controls:
-            status, data = await world.operate(
-                "GET", "/v1/Configuration.Read", only=ip
+            assert (await cluster.call_control("POST", path, body))[0] == status
+        for ip in cluster.control_ips:
+            status, data = await cluster.call_control(
+                "GET", "/v1/Configuration.Read", only_ip=ip
             )
-            assert (status, json.loads(data)) == (200, changed)
+            assert (status, json.loads(data)) == (200, config)
 
-    async def test_a_leaving_endpoint_gets_nothing_once_acknowledged(
-        self, world
-    ):
-        await world.begin("/a/")
-        world.beat["state"] = "draining"
-        for ip in world.entries:
-            await world.until_status(ip, 503)
-        arrived = len(world.endpoint.heads)
-        for ip in world.entries:
-            assert (await world.ask(ip))[0] == 503
-        assert len(world.endpoint.heads) == arrived
+    async def test_draining_endpoint_gets_no_requests(self, cluster):
+        await cluster.start_all("/a/")
+        cluster.heartbeat["state"] = "draining"
+        for ip in cluster.entry_ips:
+            await cluster.wait_for_status(ip, 503)
+        arrival_count = len(cluster.endpoint.heads)
+        for ip in cluster.entry_ips:
+            assert (await cluster.send_request(ip))[0] == 503
+        assert len(cluster.endpoint.heads) == arrival_count
 
 
 class TestMetrics:
-    async def test_both_programs_serve_their_counters(self, world):
-        await world.begin("/a/")
-        for ip, part in (
-            (world.entries[0], b"arbutuswalk_answered"),
-            (world.controls[0], b"arbutuswalk_watches"),
+    async def test_both_programs_serve_metrics(self, cluster):
+        await cluster.start_all("/a/")
+        for ip, expected in (
+            (cluster.entry_ips[0], b"arbutuswalk_answered"),
+            (cluster.control_ips[0], b"arbutuswalk_watches"),
         ):
-            status, data = await world.call("GET", f"http://{ip}:9464/metrics")
+            status, data = await cluster.http_request(
+                "GET", f"http://{ip}:9464/metrics"
+            )
             assert status == 200
-            assert part in data
+            assert expected in data
 
 
 class TestCommandLine:
-    async def test_it_shows_what_requests_go_by(self, world):
-        await world.begin("/a/")
-        binary = pathlib.Path(sys.executable).parent / "arbutuswalk"
-        control = ",".join(f"{ip}:{world.link}" for ip in world.controls)
-        for command, part in (
+    async def test_commands_show_the_routing_state(self, cluster):
+        await cluster.start_all("/a/")
+        script = pathlib.Path(sys.executable).parent / "arbutuswalk"
+        control_addresses = ",".join(
+            f"{ip}:{cluster.internal_port}" for ip in cluster.control_ips
+        )
+        for command, expected in (
             ("status", "voters"),
             ("routes", "r0: h.example/a/ idempotent to ops 1, 3 s"),
             ("endpoints", "i-1: ops v1 ready at"),
             ("rollouts", "no rollouts"),
             ("usage", "window"),
         ):
-            done = await asyncio.to_thread(
+            result = await asyncio.to_thread(
                 subprocess.run,
-                [binary, command, "--control", control],
+                [script, command, "--control", control_addresses],
                 capture_output=True,
                 text=True,
                 check=False,
             )
-            assert done.returncode == 0, done.stderr
-            assert part in done.stdout
+            assert result.returncode == 0, result.stderr
+            assert expected in result.stdout
 
 
 class TestLosses:
-    async def test_acknowledged_configurations_survive_losses(self, world):
-        """Kills all of control at once, then one loses its disk."""
-        await world.begin("/a/")
+    async def test_acknowledged_configurations_survive_losses(self, cluster):
+        """Kills all control processes at once; one also loses its disk."""
+        await cluster.start_all("/a/")
         for version in (3, 4, 5):
-            changed = platform_world.config(version, "/a/", f"/v{version}/")
-            status, _ = await world.operate(
-                "POST", "/v1/Configuration.Replace", changed
+            config = platform_fixtures.make_config(
+                version, "/a/", f"/v{version}/"
+            )
+            status, _ = await cluster.call_control(
+                "POST", "/v1/Configuration.Replace", config
             )
             assert status == 200
-            for ip in world.controls:
-                world.kill(ip)
-            for ip in world.entries:
-                assert (await world.ask(ip))[0] == 200
+            for ip in cluster.control_ips:
+                cluster.kill(ip)
+            for ip in cluster.entry_ips:
+                assert (await cluster.send_request(ip))[0] == 200
             if version == 4:
-                shutil.rmtree(world.folder / world.controls[0])
-            for ip in world.controls:
-                world.start_control(ip)
-            status, data = await world.operate("GET", "/v1/Configuration.Read")
-            assert json.loads(data) == changed
-        for ip in world.entries:
-            await world.until_status(ip, 200, "/v5/x")
-
-    async def test_a_stopped_entry_serves_out_what_it_has(self, world):
-        await world.begin("/a/")
+                shutil.rmtree(cluster.folder / cluster.control_ips[0])
+            for ip in cluster.control_ips:
+                cluster.start_control(ip)
+            status, data = await cluster.call_control(
+                "GET", "/v1/Configuration.Read"
+            )
+            assert json.loads(data) == config
+        for ip in cluster.entry_ips:
+            await cluster.wait_for_status(ip, 200, "/v5/x")
+
+    async def test_stopped_entry_completes_its_requests(self, cluster):
+        await cluster.start_all("/a/")
         slow = relays.Endpoint(name="i-2")
 
-        async def step(head, writer):
+        async def slow_step(head, writer):
             await asyncio.sleep(1.0)
             await relays.answer(b"slow")(head, writer)
 
-        slow.steps = world.endpoint.steps = [step] * 20
-        ip = world.entries[0]
-        asking = asyncio.ensure_future(world.ask(ip))
-        while not world.endpoint.heads[1:]:
+        slow.steps = cluster.endpoint.steps = [slow_step] * 20
+        ip = cluster.entry_ips[0]
+        request_task = asyncio.ensure_future(cluster.send_request(ip))
+        while not cluster.endpoint.heads[1:]:
             await asyncio.sleep(0.02)
-        world.running[ip].send_signal(signal.SIGTERM)
+        cluster.processes[ip].send_signal(signal.SIGTERM)
 
-        async def unready():
-            url = f"http://{ip}:{world.readiness}/v1/readiness"
-            return (await world.call("GET", url))[0] == 503
+        async def is_unready():
+            url = f"http://{ip}:{cluster.readiness_port}/v1/readiness"
+            return (await cluster.http_request("GET", url))[0] == 503
 
-        await process_fixtures.wait_until(unready)
-        assert (await asking)[0] == 200
-        assert world.running[ip].wait(process_fixtures.STOP_S) == 0
+        await process_fixtures.wait_until(is_unready)
+        assert (await request_task)[0] == 200
+        assert cluster.processes[ip].wait(process_fixtures.STOP_TIMEOUT_S) == 0
 
-    async def test_all_processes_at_once_serve_again(self, world):
-        await world.begin("/a/")
-        for ip in [*world.controls, *world.entries]:
-            world.kill(ip)
-        for ip in world.controls:
-            world.start_control(ip)
-        for ip in world.entries:
-            world.start_entry(ip)
-        for ip in world.entries:
-            await world.until_status(ip, 200)
+    async def test_cluster_recovers_when_all_processes_are_killed(
+        self, cluster
+    ):
+        await cluster.start_all("/a/")
+        for ip in [*cluster.control_ips, *cluster.entry_ips]:
+            cluster.kill(ip)
+        for ip in cluster.control_ips:
+            cluster.start_control(ip)
+        for ip in cluster.entry_ips:
+            cluster.start_entry(ip)
+        for ip in cluster.entry_ips:
+            await cluster.wait_for_status(ip, 200)
 
 
 class TestReload:
     @pytest.mark.parametrize("program", ["entry.py", "control.py"])
-    def test_a_reload_during_the_start_does_not_end_it(self, tmp_path, program):
-        """Found by the soak, seeds 1016, 1017, 1027, 1029 and 1036.
+    def test_reload_during_startup_does_not_end_the_process(
+        self, tmp_path, program
+    ):
+        """SIGHUP during startup must not terminate the process.
 
-        The process waits for its settings, which come through a pipe.
+        The process still waits for its settings, which come through a pipe.
+        Regression test for soak seeds 1016, 1017, 1027, 1029 and 1036.
         """
         path = tmp_path / "settings.toml"
         os.mkfifo(path)
         process = subprocess.Popen(
-            [sys.executable, str(platform_world.ROOT / "platform" / program)],
+            [
+                sys.executable,
+                str(platform_fixtures.ROOT / "platform" / program),
+            ],
             env={**os.environ, "ARBUTUSWALK_CONFIG": str(path)},
             stderr=subprocess.DEVNULL,
         )
@@ -189,5 +205,6 @@
             process.send_signal(signal.SIGHUP)
             pipe.write("not toml")
         assert (
-            process.wait(process_fixtures.STOP_S) == settings.EXIT_BAD_SETTINGS
+            process.wait(process_fixtures.STOP_TIMEOUT_S)
+            == settings.EXIT_BAD_SETTINGS
         )
--- a/testing/test_soak.py
+++ b/testing/test_soak.py
@@ -1,66 +1,106 @@
-"""A short soak with a fixed seed, and what its checks have to catch."""
+"""Short soaks with fixed seeds, and tests of the invariant checks."""
 
 import pytest
 from soak import callers
 from soak import checks
-from soak import runners
+from soak import endpoints
 from soak import soak
 
-NET = 201
-SECONDS = 6.0
+NETWORK_OCTET = 201
+DURATION_S = 6.0
 
 
 class TestShortSoak:
     @pytest.mark.parametrize("seed", [20261204, 1036])
-    async def test_promises_hold_under_faults(self, tmp_path, seed):
-        made = soak.Soak(folder=tmp_path, seed=seed, net=NET)
-        assert await made.run(SECONDS) == []
-        assert any(each.status == 200 for each in made.tried)
+    async def test_invariants_hold_under_faults(self, tmp_path, seed):
+        soak_run = soak.Soak(
+            folder=tmp_path, seed=seed, network_octet=NETWORK_OCTET
+        )
+        assert await soak_run.run(DURATION_S) == []
+        assert any(attempt.status == 200 for attempt in soak_run.attempts)
 
 
-ASKED = runners.asked_for("GET", "/a/x?n=c", b"")
-RIGHT = runners.answer_to("c", ASKED)
+SIGNATURE = endpoints.request_signature("GET", "/a/x?n=c", b"")
+EXPECTED_BODY = endpoints.expected_body("c", SIGNATURE)
 
 
-def tried(kind="idempotent", status=200, body=RIGHT, complete=True):
-    return callers.Tried("c", kind, ASKED, "e", status, body, complete, 0.0)
+def make_attempt(
+    kind="idempotent", status=200, body=EXPECTED_BODY, complete=True
+):
+    return callers.Attempt(
+        "c", kind, SIGNATURE, "e", status, body, complete, 0.0
+    )
 
 
-def run(asked=ASKED, endpoint="i", at=1.0):
-    return runners.Run("c", asked, endpoint, at)
+def make_arrival(signature=SIGNATURE, endpoint_id="i", received_at=1.0):
+    return endpoints.Arrival("c", signature, endpoint_id, received_at)
 
 
 class TestChecks:
-    def test_what_is_right_passes(self):
-        assert checks.broken([tried()], [run()], []) == []
-        whole = runners.whole_stream("c")
-        assert checks.broken([tried("stream", body=whole)], [run()], []) == []
+    def test_correct_records_pass(self):
+        assert (
+            checks.find_violations([make_attempt()], [make_arrival()], []) == []
+        )
+        stream_body = endpoints.expected_stream("c")
+        assert (
+            checks.find_violations(
+                [make_attempt("stream", body=stream_body)], [make_arrival()], []
+            )
+            == []
+        )
 
     @pytest.mark.parametrize(
         ("attempt", "runs"),
         [
-            pytest.param(tried(body=b"other"), [run()], id="mixed"),
-            pytest.param(tried(body=RIGHT[:-1]), [run()], id="cut-as-whole"),
-            pytest.param(tried("once"), [run(), run()], id="twice"),
             pytest.param(
-                tried("once", status=503, body=b""), [run()], id="refused-ran"
+                make_attempt(body=b"other"), [make_arrival()], id="mixed"
+            ),
+            pytest.param(
+                make_attempt(body=EXPECTED_BODY[:-1]),
+                [make_arrival()],
+                id="cut-as-whole",
+            ),
+            pytest.param(
+                make_attempt("once"),
+                [make_arrival(), make_arrival()],
+                id="twice",
+            ),
+            pytest.param(
+                make_attempt("once", status=503, body=b""),
+                [make_arrival()],
+                id="refused-ran",
+            ),
+            pytest.param(
+                make_attempt(),
+                [make_arrival(signature="GET /b x")],
+                id="unasked",
             ),
-            pytest.param(tried(), [run(asked="GET /b x")], id="unasked"),
-            pytest.param(tried(status=404), [], id="denied"),
+            pytest.param(make_attempt(status=404), [], id="denied"),
             pytest.param(
-                tried("stream", body=runners.event("c", 2)), [run()], id="gap"
+                make_attempt("stream", body=endpoints.stream_event("c", 2)),
+                [make_arrival()],
+                id="gap",
             ),
             pytest.param(
-                tried("stream", body=runners.event("c", 1)),
-                [run()],
+                make_attempt("stream", body=endpoints.stream_event("c", 1)),
+                [make_arrival()],
                 id="short-stream-as-whole",
             ),
         ],
     )
-    def test_what_is_broken_is_told(self, attempt, runs):
-        assert checks.broken([attempt], runs, [])
+    def test_violations_are_reported(self, attempt, runs):
+        assert checks.find_violations([attempt], runs, [])
 
-    def test_arrivals_after_leaving_are_told(self):
-        leaving = [("i", 0.5, 2.0)]
-        assert checks.broken([tried()], [run()], leaving)
-        assert checks.broken([tried()], [run(at=0.4)], leaving) == []
+    def test_arrivals_after_a_drain_are_reported(self):
+        no_traffic_windows = [("i", 0.5, 2.0)]
+        assert checks.find_violations(
+            [make_attempt()], [make_arrival()], no_traffic_windows
+        )
+        assert (
+            checks.find_violations(
+                [make_attempt()],
+                [make_arrival(received_at=0.4)],
+                no_traffic_windows,
+            )
+            == []
+        )
