--- a/src/_arbutuswalk/control/replicated.py
+++ b/src/_arbutuswalk/control/replicated.py
@@ -117,7 +117,7 @@
             commit=found.commit,
         )
         if found.snapshot is not None:
-            self.replica.snapshots[log.base_index] = found.snapshot.state
+            self.replica.snapshots[log.snapshot_index] = found.snapshot.state
         return None
 
     def _rebuild(self, found: wal.Recovered) -> raftlog.RaftLog:
@@ -129,9 +129,9 @@
             self.tables = machine.load(state)
             self.applied = index
         return raftlog.RaftLog(
-            base_index=index,
-            base_term=term,
-            base_members=members,
+            snapshot_index=index,
+            snapshot_term=term,
+            snapshot_members=members,
             entries=[
                 ttypes.Entry(term=entry.term, command=entry.command)
                 for entry in found.entries
@@ -140,11 +140,11 @@
 
     def _member_id(self) -> str | errors.StorageError:
         """Returns the folder's member id, drawn when it is first used."""
-        if wal.IDENTITY_NAME in self.data.names():
-            return self.data.read(wal.IDENTITY_NAME).decode()
+        if wal.MEMBER_ID_FILE in self.data.file_names():
+            return self.data.read(wal.MEMBER_ID_FILE).decode()
         drawn = uuid.UUID(int=self.rng.getrandbits(128)).hex[:8]
         member = f"{self.identity.address}/{drawn}"
-        failure = self.data.replace(wal.IDENTITY_NAME, member.encode())
+        failure = self.data.replace(wal.MEMBER_ID_FILE, member.encode())
         return failure or member
 
     @property
@@ -168,7 +168,7 @@
         may = membership.accepts_commands(self.replica)
         if not self.is_leader or not may:
             return None
-        payload = types.COMMAND + machine.stamp_encoded(command, at_ms)
+        payload = types.COMMAND_KIND + machine.stamp_encoded(command, at_ms)
         return replication.propose(self.replica, payload, now)
 
     def take(self) -> types.Ready:
@@ -207,9 +207,9 @@
         entry = self.replica.log.slice(self.applied, 1)[0]
         kind, payload = entry.command[:1], entry.command[1:]
         outcome = None
-        if kind == types.COMMAND:
+        if kind == types.COMMAND_KIND:
             outcome = machine.apply(self.tables, payload, self.applied)
-        elif kind == types.MEMBERS:
+        elif kind == types.MEMBERS_KIND:
             members = types.unpack_members(entry.command)
             events.log(
                 events.Event.MEMBERS_CHANGED, members.voters, members.learners
@@ -219,7 +219,10 @@
     def due_snapshot(self) -> wal.Snapshot | None:
         """Returns a snapshot to save, at the indices all members share."""
         index = self.applied
-        if index % self.snapshot_every or index <= self.replica.log.base_index:
+        if (
+            index % self.snapshot_every
+            or index <= self.replica.log.snapshot_index
+        ):
             return None
         members = transfer.members_at(self.replica, index)
         packed = snapshot.pack(members, machine.dump(self.tables))
@@ -227,4 +230,4 @@
 
     def keep_snapshot(self, made: wal.Snapshot) -> None:
         """Serves a snapshot that was saved and forgets what it covers."""
-        transfer.keep(self.replica, made.index, made.state)
+        transfer.retain_snapshot(self.replica, made.index, made.state)
