--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests on real processes: kills under load, suspends, lost disks, drains."""
+"""Tests on real processes: kill -9 under load, freezes, lost disks, drains."""
 
 import asyncio
 import collections
