--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 
-import processes
+import process_fixtures
 import pytest
 import relay_fixtures
 from arbutuswalk_platform import callers
@@ -276,7 +276,9 @@
             while not running_entry.endpoint.request_heads:
                 await asyncio.sleep(0.01)
             draining = self.start_drain(running_entry)
-            await processes.until(connection_is_refused, tries=50, pause_s=0.02)
+            await process_fixtures.wait_until(
+                connection_is_refused, max_polls=50, pause_s=0.02
+            )
             assert not draining.done()
             release.set()
             status, head = await response_task
