--- a/src/_arbutuswalk/load/checks.py
+++ b/src/_arbutuswalk/load/checks.py
@@ -14,7 +14,7 @@
     of one generation.
     """
     try:
-        tokens = engine.split_tokens(text)
+        tokens = engine.parse_tokens(text)
     except ValueError:
         return "text that no engine made"
     if {reference for reference, _, _ in tokens} - {item.ref}:
--- a/src/_arbutuswalk/standin/__init__.py
+++ b/src/_arbutuswalk/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for runners, plain services and the platform."""
+"""Simulated model runners, plain services and cloud platform."""
--- a/src/_arbutuswalk/standin/announcer.py
+++ b/src/_arbutuswalk/standin/announcer.py
@@ -1,4 +1,4 @@
-"""Announces a stand-in upstream at the entries, as real ones do."""
+"""Announces a simulated upstream to the entries, as a real one does."""
 
 import asyncio
 import contextlib
@@ -7,72 +7,79 @@
 
 import aiohttp
 
-HEARTBEAT_S = 0.5
-TIMEOUT_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.5
+REQUEST_TIMEOUT_S = 1.0
 
 
 class Announcer:
     """Sends announcements and heartbeats of one upstream.
 
     Attributes:
-        entries: Addresses of entries, tried in turn.
-        describe: Returns the fields that change.
-        fixed: Fields that do not.
-        cache_event: Returns a cache event to publish, if any.
-        sequence: Number of the newest announcement.
+        entries: Addresses of the entries; the first one that answers is kept.
+        get_changing_fields: Returns the announced fields that change.
+        fixed_fields: Announced fields that do not change.
+        take_cache_event: Returns the next cache event, or None.
+        sequence: Sequence number of the last announcement.
+        announce_requested: Set to announce before the next heartbeat.
     """
 
     def __init__(
         self,
         *,
         entries: list[str],
-        fixed: dict[str, Any],
-        describe: Callable[[], dict[str, Any]],
-        cache_event: Callable[[], dict[str, Any] | None] = lambda: None,
+        fixed_fields: dict[str, Any],
+        get_changing_fields: Callable[[], dict[str, Any]],
+        take_cache_event: Callable[[], dict[str, Any] | None] = lambda: None,
     ):
         self.entries = list(entries)
-        self.fixed = fixed
-        self.describe = describe
-        self.cache_event = cache_event
+        self.fixed_fields = fixed_fields
+        self.get_changing_fields = get_changing_fields
+        self.take_cache_event = take_cache_event
         self.sequence = 0
-        self.wake = asyncio.Event()
+        self.announce_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Announces every heartbeat until cancelled."""
+        """Announces at every heartbeat interval until cancelled."""
         async with aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=TIMEOUT_S)
+            timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         ) as session:
             while True:
                 await self._announce(session)
-                event = self.cache_event()
+                event = self.take_cache_event()
                 if event is not None:
-                    await self._post(session, "events", self._own(event))
+                    await self._post(
+                        session, "events", self._with_identity(event)
+                    )
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self.wake.wait(), HEARTBEAT_S)
-                self.wake.clear()
+                    await asyncio.wait_for(
+                        self.announce_requested.wait(), HEARTBEAT_INTERVAL_S
+                    )
+                self.announce_requested.clear()
 
-    def hurry(self) -> None:
-        """Announces at once."""
-        self.wake.set()
+    def announce_now(self) -> None:
+        """Announces without waiting for the next heartbeat."""
+        self.announce_requested.set()
 
-    def _own(self, event: dict[str, Any]) -> dict[str, Any]:
-        identity = {key: self.fixed[key] for key in ("id", "incarnation")}
+    def _with_identity(self, event: dict[str, Any]) -> dict[str, Any]:
+        identity = {
+            key: self.fixed_fields[key] for key in ("id", "incarnation")
+        }
         return {**event, **identity}
 
     async def _announce(self, session: aiohttp.ClientSession) -> None:
         self.sequence += 1
-        said = {
-            **self.fixed,
-            **self.describe(),
+        announcement = {
+            **self.fixed_fields,
+            **self.get_changing_fields(),
             "sequence": self.sequence,
         }
-        await self._post(session, "announce", said)
+        await self._post(session, "announce", announcement)
 
     async def _post(
-        self, session: aiohttp.ClientSession, kind: str, body: Any
+        self, session: aiohttp.ClientSession, endpoint: str, body: Any
     ) -> None:
         for _ in range(len(self.entries)):
-            url = f"http://{self.entries[0]}/v1/upstreams/{kind}"
+            url = f"http://{self.entries[0]}/v1/upstreams/{endpoint}"
             try:
                 async with session.post(url, json=body) as response:
                     await response.read()
--- a/src/_arbutuswalk/standin/engine.py
+++ b/src/_arbutuswalk/standin/engine.py
@@ -1,8 +1,9 @@
-"""A stand-in for a model engine: slots, prefix cache, checkable tokens.
+"""A simulated model engine with slots, a prefix cache and traceable tokens.
 
-Every token names the request it answers, the generation it belongs to and its
-place: ``" ref.nonce.k"``. A continued generation keeps the nonce it finds in
-the forced prefix, so that a reader can tell spliced generations apart.
+Every token consists of the reference of its request, the id of its generation
+and its position: ``" reference.generation_id.position"``. A generation that
+continues a forced prefix takes over the generation id in that prefix, so that
+a reader can detect tokens of two generations in one answer.
 """
 
 import asyncio
@@ -13,26 +14,28 @@
 
 from _arbutuswalk.routing import prefixes
 
-REFERENCE = re.compile(r"ref:([A-Za-z0-9_-]+)")
+REFERENCE_PATTERN = re.compile(r"ref:([A-Za-z0-9_-]+)")
 
 
 class Engine:
-    """State of one stand-in engine.
+    """State of one simulated engine.
 
     Attributes:
-        slots: Requests it runs at a time.
-        token_s: Seconds between tokens of an empty engine.
-        prefill_tokens_per_s: Speed at which it reads prompts.
-        cache_blocks: Blocks its prefix cache holds.
-        cache: Block hashes, least recently used first.
-        running: Requests in slots.
-        waiting: Requests that wait for a slot.
-        prompts: Prompt text of each running request, for export.
-        sequence: Number of the newest cache event.
-        stored: Blocks stored since the last event.
-        removed: Blocks removed since the last event.
-        computed_tokens: Prompt tokens read and not found in the cache.
-        served: Requests it began.
+        slots: Maximum number of concurrent requests.
+        token_s: Seconds for each generated token.
+        prefill_tokens_per_s: Uncached prompt tokens processed per second.
+        cache_capacity_blocks: Capacity of the prefix cache, in blocks.
+        cached_blocks: Hashes of cached blocks, least recently used first.
+        running_count: Number of requests that occupy a slot.
+        waiting_count: Number of requests that wait for a slot.
+        slot_semaphore: Limits the concurrent requests to ``slots``.
+        prompts_by_request_id: Prompts including forced prefixes, for export
+            of the cache.
+        event_sequence: Sequence number of the last cache event.
+        stored_blocks: Blocks added since the last cache event.
+        removed_blocks: Blocks evicted since the last cache event.
+        computed_tokens: Total prompt tokens that were not cached.
+        started_requests: Total requests that obtained a slot.
     """
 
     def __init__(
@@ -46,88 +49,97 @@
         self.slots = slots
         self.token_s = token_s
         self.prefill_tokens_per_s = prefill_tokens_per_s
-        self.cache_blocks = max(1, cache_tokens // prefixes.BLOCK_TOKENS)
-        self.cache: collections.OrderedDict[str, None] = (
+        self.cache_capacity_blocks = max(
+            1, cache_tokens // prefixes.BLOCK_TOKENS
+        )
+        self.cached_blocks: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self.running = 0
-        self.waiting = 0
-        self.gate = asyncio.Semaphore(slots)
-        self.prompts: dict[str, str] = {}
-        self.sequence = 0
-        self.stored: list[str] = []
-        self.removed: list[str] = []
+        self.running_count = 0
+        self.waiting_count = 0
+        self.slot_semaphore = asyncio.Semaphore(slots)
+        self.prompts_by_request_id: dict[str, str] = {}
+        self.event_sequence = 0
+        self.stored_blocks: list[str] = []
+        self.removed_blocks: list[str] = []
         self.computed_tokens = 0
-        self.served = 0
+        self.started_requests = 0
 
-    def cached_tokens(self, text: str) -> int:
+    def count_cached_tokens(self, text: str) -> int:
         """Returns how many leading tokens of ``text`` are cached."""
-        held = 0
+        cached_tokens = 0
         for block in prefixes.hash_blocks(text):
-            if block not in self.cache:
+            if block not in self.cached_blocks:
                 break
-            held += prefixes.BLOCK_TOKENS
-        return held
+            cached_tokens += prefixes.BLOCK_TOKENS
+        return cached_tokens
 
-    def store(self, text: str) -> None:
-        """Puts a text's blocks into the cache."""
+    def cache_text(self, text: str) -> None:
+        """Adds the blocks of ``text`` to the cache and evicts the oldest."""
         for block in prefixes.hash_blocks(text):
-            if block not in self.cache:
-                self.stored.append(block)
-            self.cache[block] = None
-            self.cache.move_to_end(block)
-        while len(self.cache) > self.cache_blocks:
-            block, _ = self.cache.popitem(last=False)
-            self.removed.append(block)
+            if block not in self.cached_blocks:
+                self.stored_blocks.append(block)
+            self.cached_blocks[block] = None
+            self.cached_blocks.move_to_end(block)
+        while len(self.cached_blocks) > self.cache_capacity_blocks:
+            block, _ = self.cached_blocks.popitem(last=False)
+            self.removed_blocks.append(block)
 
     async def prefill(self, text: str) -> int:
-        """Reads a prompt; returns how many tokens were cached."""
-        cached = self.cached_tokens(text)
-        tokens = len(text) // prefixes.CHARS_PER_TOKEN
-        uncached = max(0, tokens - cached)
-        self.computed_tokens += uncached
-        await asyncio.sleep(uncached / self.prefill_tokens_per_s)
-        self.store(text)
-        return cached
+        """Processes a prompt; returns how many of its tokens were cached."""
+        cached_tokens = self.count_cached_tokens(text)
+        prompt_tokens = len(text) // prefixes.CHARS_PER_TOKEN
+        uncached_tokens = max(0, prompt_tokens - cached_tokens)
+        self.computed_tokens += uncached_tokens
+        await asyncio.sleep(uncached_tokens / self.prefill_tokens_per_s)
+        self.cache_text(text)
+        return cached_tokens
 
     def take_cache_event(self) -> dict[str, Any] | None:
-        """Returns what changed in the cache since the last event."""
-        if not self.stored and not self.removed:
+        """Returns the cache changes since the last event, or None.
+
+        An event lists the newest 1000 blocks of each kind at most.
+        """
+        if not self.stored_blocks and not self.removed_blocks:
             return None
-        self.sequence += 1
+        self.event_sequence += 1
         event = {
-            "sequence": self.sequence,
-            "stored": self.stored[-1000:],
-            "removed": self.removed[-1000:],
+            "sequence": self.event_sequence,
+            "stored": self.stored_blocks[-1000:],
+            "removed": self.removed_blocks[-1000:],
         }
-        self.stored, self.removed = [], []
+        self.stored_blocks, self.removed_blocks = [], []
         return event
 
 
-def reference_of(prompt: str) -> str:
-    """Returns the reference that a prompt carries."""
-    found = REFERENCE.findall(prompt)
-    return found[-1] if found else "none"
+def parse_reference(prompt: str) -> str:
+    """Returns the last ``ref:`` value in a prompt, or ``none``."""
+    references = REFERENCE_PATTERN.findall(prompt)
+    return references[-1] if references else "none"
 
 
-def token(reference: str, nonce: str, place: int) -> str:
-    """Returns one token's text."""
-    return f" {reference}.{nonce}.{place}"
+def format_token(reference: str, generation_id: str, position: int) -> str:
+    """Returns the text of one token."""
+    return f" {reference}.{generation_id}.{position}"
 
 
-def split_tokens(text: str) -> list[tuple[str, str, int]]:
-    """Parses text made of tokens; raises ValueError for anything else."""
+def parse_tokens(text: str) -> list[tuple[str, str, int]]:
+    """Parses generated text into (reference, generation id, position).
+
+    Raises:
+        ValueError: The text is not made of tokens of this engine.
+    """
     tokens = []
-    for part in text.split():
-        reference, nonce, place = part.rsplit(".", 2)
-        tokens.append((reference, nonce, int(place)))
+    for token in text.split():
+        reference, generation_id, position = token.rsplit(".", 2)
+        tokens.append((reference, generation_id, int(position)))
     return tokens
 
 
-def start_of(continue_from: dict[str, Any] | None) -> tuple[str, int]:
-    """Returns the nonce and the place of the next token."""
+def continuation_start(continue_from: dict[str, Any] | None) -> tuple[str, int]:
+    """Returns the generation id and the position of the next token."""
     if continue_from:
-        tokens = split_tokens(continue_from["text"])
+        tokens = parse_tokens(continue_from["text"])
         if tokens:
             return tokens[0][1], len(tokens)
     return uuid.uuid4().hex[:6], 0
--- a/src/_arbutuswalk/standin/main.py
+++ b/src/_arbutuswalk/standin/main.py
@@ -1,4 +1,4 @@
-"""``arbutuswalk-standin``: runner, service and platform stand-ins."""
+"""``arbutuswalk-standin``: simulated runner, service or platform."""
 
 import argparse
 import asyncio
@@ -20,33 +20,33 @@
 
 
 async def run(kind: str, values: dict[str, Any]) -> None:
-    """Runs one stand-in until it is told to stop."""
-    _, make = KINDS[kind]
-    unit = make(values=values)
-    await unit.start()
-    stop = asyncio.Event()
+    """Runs one stand-in until SIGTERM or SIGINT."""
+    _, stand_in_class = KINDS[kind]
+    stand_in = stand_in_class(values=values)
+    await stand_in.start()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, stop.set)
-    loop.add_signal_handler(signal.SIGINT, stop.set)
-    await stop.wait()
-    await unit.cut()
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, stop_requested.set)
+    await stop_requested.wait()
+    await stand_in.abort()
 
 
 def main() -> None:
-    """Runs the binary."""
+    """Runs the command ``arbutuswalk-standin``."""
     parser = argparse.ArgumentParser(prog="arbutuswalk-standin")
     parser.add_argument("kind", choices=sorted(KINDS))
     parser.add_argument("settings", help="TOML settings file")
     parser.add_argument("--check", action="store_true")
     arguments = parser.parse_args()
     fields, _ = KINDS[arguments.kind]
-    loaded = settings.load(arguments.settings, fields)
-    if isinstance(loaded, settings.BadSettings):
-        for problem in loaded.problems:
+    values = settings.load(arguments.settings, fields)
+    if isinstance(values, settings.BadSettings):
+        for problem in values.problems:
             print(problem, file=sys.stderr)
         sys.exit(settings.EXIT_BAD_SETTINGS)
     if arguments.check:
         print(f"{arguments.settings}: good")
         sys.exit(process.EXIT_OK)
     process.start_logging("warning")
-    asyncio.run(run(arguments.kind, loaded))
+    asyncio.run(run(arguments.kind, values))
--- a/src/_arbutuswalk/standin/server.py
+++ b/src/_arbutuswalk/standin/server.py
@@ -1,4 +1,4 @@
-"""Runs ASGI applications inside a stand-in, and cuts them off abruptly."""
+"""An ASGI server for simulated processes that can be aborted."""
 
 import asyncio
 import contextlib
@@ -7,29 +7,29 @@
 
 
 class Server(uvicorn.Server):
-    """A server that can stop as if its machine were gone.
+    """A server that can stop abruptly, as if its instance were lost.
 
     Attributes:
-        task: The task that serves.
+        serve_task: The task that runs the server, or None before its start.
     """
 
-    task: asyncio.Task | None = None
+    serve_task: asyncio.Task | None = None
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Installs no signal handlers."""
+        """Overrides the signal handlers of uvicorn with none."""
         yield
 
-    async def begin(self) -> None:
-        """Starts to serve and returns once the socket listens."""
-        self.task = asyncio.ensure_future(self.serve())
-        while not self.started and not self.task.done():
+    async def start_listening(self) -> None:
+        """Starts the server and returns once its socket listens."""
+        self.serve_task = asyncio.ensure_future(self.serve())
+        while not self.started and not self.serve_task.done():
             await asyncio.sleep(0.005)
-        if self.task.done():
-            self.task.result()
+        if self.serve_task.done():
+            self.serve_task.result()
 
-    async def cut(self) -> None:
-        """Aborts every connection and closes the socket."""
+    async def abort(self) -> None:
+        """Closes the socket and aborts all connections and requests."""
         for listener in getattr(self, "servers", []):
             listener.close()
         for connection in list(self.server_state.connections):
@@ -40,12 +40,12 @@
             task.cancel()
         self.should_exit = True
         self.force_exit = True
-        if self.task is not None:
-            await asyncio.gather(self.task, return_exceptions=True)
+        if self.serve_task is not None:
+            await asyncio.gather(self.serve_task, return_exceptions=True)
 
 
-def make(app: object, address: str) -> Server:
-    """Returns a server for ``app`` at ``IP:port``."""
+def make_server(app: object, address: str) -> Server:
+    """Returns a server for ``app`` that listens on ``IP:port``."""
     host, _, port = address.rpartition(":")
     config = uvicorn.Config(
         app,
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -96,8 +96,10 @@
 
     async def _generate(self, runner, order, deadlines, feed, mode):
         prompt = requests.prompt_of(order.body)
-        reference = engine.reference_of(prompt)
-        nonce, place = engine.start_of(order.body.get("continue_from"))
+        reference = engine.parse_reference(prompt)
+        nonce, place = engine.continuation_start(
+            order.body.get("continue_from")
+        )
         stop = self.rng.randint(place, MAX_TOKENS)
         while place < order.body["max_tokens"]:
             await asyncio.sleep(TOKEN_S)
@@ -110,7 +112,7 @@
             if place == stop and mode == "silent":
                 await asyncio.sleep(deadlines.gap_s)
                 return attempts.Silent(after_s=deadlines.gap_s)
-            word = engine.token(reference, nonce, place)
+            word = engine.format_token(reference, nonce, place)
             choice = {"index": 0, "text": word}
             body = json.dumps({"choices": [choice]}).encode()
             feed([b"data: " + body])
