--- a/src/_arbutuswalk/load/__init__.py
+++ b/src/_arbutuswalk/load/__init__.py
@@ -1,1 +1,1 @@
-"""Workload sender that checks every answer."""
+"""Load generator that checks the content of every answer."""
--- a/src/_arbutuswalk/load/callers.py
+++ b/src/_arbutuswalk/load/callers.py
@@ -1,4 +1,4 @@
-"""Callers as the entries' users write them: keep the list, resend, resume."""
+"""Simulated callers that cache the entry list, resend and resume."""
 
 import asyncio
 import dataclasses
@@ -13,25 +13,25 @@
 from _arbutuswalk.load import workload
 from _arbutuswalk.streams import framing
 
-CONNECT_S = 1.0
-SILENCE_S = 12.0
-PAUSE_S = 0.1
-MAX_TRIES = 40
+CONNECT_TIMEOUT_S = 1.0
+READ_TIMEOUT_S = 12.0
+RETRY_PAUSE_S = 0.1
+MAX_SENDS = 40
 
 
 @dataclasses.dataclass(kw_only=True)
 class Result:
-    """What became of one item.
+    """The outcome of one item.
 
     Attributes:
-        item: The item.
+        item: The request that was sent.
         outcome: ``whole``, ``refused``, ``unknown`` or ``broken``.
-        detail: Why, unless whole.
-        first_token_s: Seconds to the first token, zero if none.
-        total_s: Seconds to the end.
-        sends: How often the caller sent it.
-        resumed: How often the caller resumed it.
-        gaps_s: Seconds between tokens.
+        detail: Reason, empty for ``whole``.
+        first_token_s: Seconds until the first token, zero if none came.
+        total_s: Seconds until the outcome was known.
+        sends: Number of times the caller sent it.
+        resumptions: Number of times the caller resumed the stream.
+        token_gaps_s: Seconds between consecutive tokens.
     """
 
     item: workload.Item
@@ -40,59 +40,59 @@
     first_token_s: float = 0.0
     total_s: float = 0.0
     sends: int = 0
-    resumed: int = 0
-    gaps_s: list[float] = dataclasses.field(default_factory=list)
+    resumptions: int = 0
+    token_gaps_s: list[float] = dataclasses.field(default_factory=list)
 
 
-class Directory:
-    """The entries' addresses, asked for and kept for their time to live.
+class EntryDirectory:
+    """Addresses of the entries, cached for the time to live of the list.
 
     Attributes:
-        seeds: Addresses to ask first.
-        addresses: Addresses of the newest list.
-        fresh_until: Until when the list is kept.
+        seeds: Configured addresses, used while no list is known.
+        addresses: Addresses of the newest list, without removed ones.
+        valid_until: Monotonic time at which the list expires.
     """
 
     def __init__(self, *, seeds: list[str], rng: random.Random):
         self.seeds = seeds
         self.rng = rng
         self.addresses: list[str] = []
-        self.fresh_until = 0.0
+        self.valid_until = 0.0
 
-    async def pick(self, session: aiohttp.ClientSession) -> str:
-        """Returns an address to use."""
-        if time.monotonic() > self.fresh_until or not self.addresses:
+    async def choose_address(self, session: aiohttp.ClientSession) -> str:
+        """Returns a random address, after a refresh if the list expired."""
+        if time.monotonic() > self.valid_until or not self.addresses:
             await self._refresh(session)
         return self.rng.choice(self.addresses or self.seeds)
 
-    def drop(self, address: str) -> None:
-        """Stops using an address until the next list."""
+    def remove(self, address: str) -> None:
+        """Removes a failed address until the next refresh."""
         if address in self.addresses:
             self.addresses.remove(address)
 
     async def _refresh(self, session: aiohttp.ClientSession) -> None:
-        known = self.addresses + self.seeds
-        for address in self.rng.sample(known, len(known)):
+        known_addresses = self.addresses + self.seeds
+        for address in self.rng.sample(known_addresses, len(known_addresses)):
             try:
                 async with session.get(
                     f"http://{address}/v1/entries"
                 ) as response:
-                    listed = await response.json()
+                    listing = await response.json()
             except (TimeoutError, aiohttp.ClientError, OSError, ValueError):
                 continue
-            found = [row["address"] for row in listed["entries"]]
-            if found:
-                self.addresses = found
-                self.fresh_until = time.monotonic() + listed["ttl_s"]
+            entry_addresses = [row["address"] for row in listing["entries"]]
+            if entry_addresses:
+                self.addresses = entry_addresses
+                self.valid_until = time.monotonic() + listing["ttl_s"]
                 return
 
 
 class Caller:
-    """Sends items and follows each until its outcome is known.
+    """Sends items and retries each until its outcome is final.
 
     Attributes:
-        session: HTTP session.
-        directory: Where to send.
+        session: HTTP session for all requests.
+        directory: Addresses of the entries.
         tokens: Bearer token by workspace.
     """
 
@@ -100,7 +100,7 @@
         self,
         *,
         session: aiohttp.ClientSession,
-        directory: Directory,
+        directory: EntryDirectory,
         tokens: dict[str, str],
     ):
         self.session = session
@@ -108,25 +108,27 @@
         self.tokens = tokens
 
     async def run(self, item: workload.Item) -> Result:
-        """Sends one item until it is answered, refused or given up."""
+        """Sends one item until its outcome is final or its time is over."""
         result = Result(item=item)
         started = time.monotonic()
-        state = Progress()
+        progress = StreamProgress()
         deadline = started + item.deadline_ms / 1000
-        for _ in range(MAX_TRIES):
-            if time.monotonic() >= deadline + SILENCE_S:
+        for _ in range(MAX_SENDS):
+            if time.monotonic() >= deadline + READ_TIMEOUT_S:
                 break
-            address = await self.directory.pick(self.session)
+            address = await self.directory.choose_address(self.session)
             result.sends += 1
             try:
-                ended = await self._send(item, address, result, state, started)
+                is_final = await self._send(
+                    item, address, result, progress, started
+                )
             except (TimeoutError, aiohttp.ClientError, OSError) as error:
                 result.detail = f"{type(error).__name__}: {error}"
-                self.directory.drop(address)
-                ended = False
-            if ended:
+                self.directory.remove(address)
+                is_final = False
+            if is_final:
                 break
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
         result.total_s = time.monotonic() - started
         return result
 
@@ -135,16 +137,16 @@
         item: workload.Item,
         address: str,
         result: Result,
-        state: "Progress",
+        progress: "StreamProgress",
         started: float,
     ) -> bool:
         """Sends once; returns whether the outcome is final."""
         if item.kind == "service":
             return await self._send_service(item, address, result)
         headers = self._headers(item)
-        if state.last_id:
-            headers["Last-Event-ID"] = state.last_id
-            result.resumed += 1
+        if progress.last_id:
+            headers["Last-Event-ID"] = progress.last_id
+            result.resumptions += 1
         path = "chat/completions" if item.kind == "chat" else "completions"
         async with self.session.post(
             f"http://{address}/v1/{path}",
@@ -152,11 +154,11 @@
             headers=headers,
         ) as response:
             if response.status != 200:
-                return await self._problem(response, result)
+                return await self._read_problem(response, result)
             if not item.stream:
-                return await self._read_whole(item, response, result)
+                return await self._read_complete_answer(item, response, result)
             return await self._read_stream(
-                item, response, result, state, started
+                item, response, result, progress, started
             )
 
     def _headers(self, item: workload.Item) -> dict[str, str]:
@@ -180,20 +182,20 @@
             data=b"" if item.method == "GET" else json.dumps(body).encode(),
             headers=self._headers(item),
         ) as response:
-            data = await response.read()
+            response_body = await response.read()
             if "problem+json" in response.headers.get("Content-Type", ""):
-                return _note_problem(result, response, data)
-            wrong = checks.check_service(item, response.status, data)
-        result.outcome = "broken" if wrong else "whole"
-        result.detail = wrong
+                return _record_problem(result, response, response_body)
+            error = checks.check_service(item, response.status, response_body)
+        result.outcome = "broken" if error else "whole"
+        result.detail = error
         return True
 
-    async def _problem(
+    async def _read_problem(
         self, response: aiohttp.ClientResponse, result: Result
     ) -> bool:
-        return _note_problem(result, response, await response.read())
+        return _record_problem(result, response, await response.read())
 
-    async def _read_whole(
+    async def _read_complete_answer(
         self,
         item: workload.Item,
         response: aiohttp.ClientResponse,
@@ -211,45 +213,47 @@
         item: workload.Item,
         response: aiohttp.ClientResponse,
         result: Result,
-        state: "Progress",
+        progress: "StreamProgress",
         started: float,
     ) -> bool:
         framer = framing.Framer()
         async for chunk in response.content.iter_any():
             for event in framer.feed(chunk):
-                state.take(event, result, started)
-                if state.problem is not None:
+                progress.record_event(event, result, started)
+                if progress.problem is not None:
                     result.outcome = "unknown"
-                    result.detail = state.problem
+                    result.detail = progress.problem
                     return True
-                if state.done:
-                    text = checks.text_of_events(state.events)
+                if progress.ended:
+                    text = checks.text_of_events(progress.events)
                     result.detail = checks.check_text(item, text)
                     result.outcome = "broken" if result.detail else "whole"
                     return True
-        return False  # ended without the end marker: resume
+        return False  # no end marker: the caller resumes the stream
 
 
-class Progress:
-    """What a caller has of a stream, over all its connections.
+class StreamProgress:
+    """The part of a stream that was received, over all connections.
 
     Attributes:
-        events: Engine events in order.
-        last_id: Id of the newest event.
-        last_at: When it came, in seconds.
-        done: Whether the end marker came.
-        problem: Why the stream failed, or None.
+        events: Events of the engine in order, without their ids.
+        last_id: Id of the last event.
+        last_event_at: Monotonic time of the last event, in seconds.
+        ended: Whether the end marker was received.
+        problem: Text of the event that reports a failure, or None.
     """
 
     def __init__(self):
         self.events: list[bytes] = []
         self.last_id = ""
-        self.last_at = 0.0
-        self.done = False
+        self.last_event_at = 0.0
+        self.ended = False
         self.problem: str | None = None
 
-    def take(self, event: bytes, result: Result, started: float) -> None:
-        """Takes one event as it came."""
+    def record_event(
+        self, event: bytes, result: Result, started: float
+    ) -> None:
+        """Records one event as it was received."""
         if event.startswith(b":"):
             return
         if event.startswith(b"event: reset"):
@@ -258,20 +262,20 @@
         if event.startswith(b"event: problem"):
             self.problem = event.decode(errors="replace")
             return
-        head, _, rest = event.partition(b"\n")
-        self.last_id = head.removeprefix(b"id: ").decode()
+        id_line, _, event_data = event.partition(b"\n")
+        self.last_id = id_line.removeprefix(b"id: ").decode()
         now = time.monotonic()
         if not result.first_token_s:
             result.first_token_s = now - started
         else:
-            result.gaps_s.append(now - self.last_at)
-        self.last_at = now
-        self.events.append(rest)
-        self.done = rest == framing.DONE
+            result.token_gaps_s.append(now - self.last_event_at)
+        self.last_event_at = now
+        self.events.append(event_data)
+        self.ended = event_data == framing.DONE
 
 
 def _model_body(item: workload.Item) -> dict[str, Any]:
-    prompt = workload.prompt_of(item)
+    prompt = workload.build_prompt(item)
     body: dict[str, Any] = {
         "model": item.upstream,
         "max_tokens": item.max_tokens,
@@ -284,21 +288,23 @@
     return body
 
 
-def _note_problem(
-    result: Result, response: aiohttp.ClientResponse, data: bytes
+def _record_problem(
+    result: Result, response: aiohttp.ClientResponse, response_body: bytes
 ) -> bool:
-    """Notes a refusal; returns whether it is final for this caller.
+    """Records a refusal; returns whether it is final for this caller.
 
-    A refusal that is truly not run and names a time to come back is sent
-    again, as the documents for callers advise.
+    Statuses 503 and 504 with a Retry-After header are retried, as the
+    documentation for callers advises.
     """
     try:
-        problem = json.loads(data)
+        problem = json.loads(response_body)
     except ValueError:
-        result.outcome, result.detail = "broken", "a refusal cut short"
+        result.outcome, result.detail = "broken", "truncated refusal body"
         return True
     ran = problem.get("ran", "")
     result.detail = f"{problem.get('title')}: {problem.get('detail')}"
     result.outcome = "refused" if ran == "no" else "unknown"
-    again = response.status in (503, 504) and "Retry-After" in response.headers
-    return not again
+    retryable = (
+        response.status in (503, 504) and "Retry-After" in response.headers
+    )
+    return not retryable
--- a/src/_arbutuswalk/load/main.py
+++ b/src/_arbutuswalk/load/main.py
@@ -16,7 +16,7 @@
 from _arbutuswalk.load import callers
 from _arbutuswalk.load import workload
 
-EXIT_BROKEN = 1
+EXIT_BROKEN_ANSWERS = 1
 
 FIELDS = (
     settings.Field("entries", "a list of IP:port", settings.is_address_list),
@@ -37,13 +37,16 @@
 async def run(
     values: dict[str, Any], items: list[workload.Item]
 ) -> list[callers.Result]:
-    """Sends every item at its time and returns the results in order."""
+    """Sends every item at its time and returns all results.
+
+    An item with ``resend_after_ms`` is sent twice and has two results.
+    """
     rng = random.Random(values["seed"])
-    directory = callers.Directory(seeds=values["entries"], rng=rng)
+    directory = callers.EntryDirectory(seeds=values["entries"], rng=rng)
     timeout = aiohttp.ClientTimeout(
         total=None,
-        sock_connect=callers.CONNECT_S,
-        sock_read=callers.SILENCE_S,
+        sock_connect=callers.CONNECT_TIMEOUT_S,
+        sock_read=callers.READ_TIMEOUT_S,
     )
     async with aiohttp.ClientSession(
         timeout=timeout, connector=aiohttp.TCPConnector(limit=0)
@@ -54,47 +57,55 @@
         started = time.monotonic()
         tasks = []
         for item in items:
-            due = started + item.at_ms / 1000 / values["speed"]
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+            send_at = started + item.at_ms / 1000 / values["speed"]
+            await asyncio.sleep(max(0.0, send_at - time.monotonic()))
             tasks.append(asyncio.ensure_future(caller.run(item)))
             if item.resend_after_ms:
                 delay_s = item.resend_after_ms / 1000
                 tasks.append(
-                    asyncio.ensure_future(_resend(caller, item, delay_s))
+                    asyncio.ensure_future(_resend_after(caller, item, delay_s))
                 )
         return list(await asyncio.gather(*tasks))
 
 
-async def _resend(
+async def _resend_after(
     caller: callers.Caller, item: workload.Item, delay_s: float
 ) -> callers.Result:
-    """Sends an item again, as a caller does that lost its answer."""
+    """Sends an item again, as a caller does that lost the answer."""
     await asyncio.sleep(delay_s)
     return await caller.run(item)
 
 
 def summarize(results: list[callers.Result]) -> dict[str, Any]:
-    """Returns counts and quantiles of a run."""
+    """Returns outcome counts and latency quantiles of a run."""
     outcomes = collections.Counter(result.outcome for result in results)
-    firsts = [r.first_token_s for r in results if r.first_token_s]
-    gaps = [gap for result in results for gap in result.gaps_s]
+    first_token_times_s = [
+        result.first_token_s for result in results if result.first_token_s
+    ]
+    token_gaps_s = [
+        gap_s for result in results for gap_s in result.token_gaps_s
+    ]
     return {
         "sent": len(results),
         "whole": outcomes["whole"],
         "refused": outcomes["refused"],
         "unknown": outcomes["unknown"],
         "broken": outcomes["broken"],
-        "resumed": sum(result.resumed for result in results),
-        "first_token_p95_s": quantile(firsts, 0.95),
-        "between_tokens_p95_s": quantile(gaps, 0.95),
+        "resumed": sum(result.resumptions for result in results),
+        "first_token_p95_s": quantile(first_token_times_s, 0.95),
+        "between_tokens_p95_s": quantile(token_gaps_s, 0.95),
         "problems": sorted(
-            {f"{r.item.ref}: {r.detail}" for r in results if r.detail}
+            {
+                f"{result.item.ref}: {result.detail}"
+                for result in results
+                if result.detail
+            }
         )[:50],
     }
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """Returns a quantile, zero of nothing."""
+    """Returns a quantile of ``values``, zero if there are none."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -102,7 +113,7 @@
 
 
 def main() -> None:
-    """Runs the binary."""
+    """Runs the command ``arbutuswalk-load``."""
     values = process.load_settings("arbutuswalk-load", FIELDS, sys.argv[1:])
     items = workload.load(values["workload"])
     if isinstance(items, workload.BadWorkload):
@@ -114,4 +125,4 @@
     print(text)
     if values["report"]:
         pathlib.Path(values["report"]).write_text(text, encoding="utf-8")
-    sys.exit(EXIT_BROKEN if summary["broken"] else process.EXIT_OK)
+    sys.exit(EXIT_BROKEN_ANSWERS if summary["broken"] else process.EXIT_OK)
--- a/src/_arbutuswalk/load/workload.py
+++ b/src/_arbutuswalk/load/workload.py
@@ -1,4 +1,4 @@
-"""Workload files: one JSON object a line, one request each."""
+"""Workload files in JSON Lines format, one request per line."""
 
 import dataclasses
 import hashlib
@@ -17,7 +17,7 @@
     settings.Field("upstream", "an upstream", settings.is_text),
     settings.Field("ref", "a reference, unique in the file", settings.is_text),
     settings.Field(
-        "dossier", "a name of shared text", lambda v: isinstance(v, str), ""
+        "dossier", "a name of a shared text", lambda v: isinstance(v, str), ""
     ),
     settings.Field("dossier_chars", "a number", settings.is_natural, 0),
     settings.Field("ask", "the question", lambda v: isinstance(v, str), ""),
@@ -34,7 +34,7 @@
 
 
 class Item(NamedTuple):
-    """One request of a workload; fields as in ``FIELDS``."""
+    """One request of a workload; ``FIELDS`` describes the fields."""
 
     at_ms: int
     workspace: str
@@ -57,21 +57,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BadWorkload:
-    """A workload that was refused, and every problem in it."""
+    """A workload file that was rejected, with all its problems."""
 
     problems: tuple[str, ...]
 
 
 def load(path: str) -> list[Item] | BadWorkload:
-    """Reads and checks a workload file."""
+    """Reads and checks a workload file; returns items in order of time."""
     try:
         lines = pathlib.Path(path).read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
         return BadWorkload(problems=(f"{path}: {error}",))
     items: list[Item] = []
     problems: list[str] = []
-    for number, line in enumerate(lines, 1):
-        parsed = _parse(line, f"{path}:{number}")
+    for line_number, line in enumerate(lines, 1):
+        parsed = _parse_line(line, f"{path}:{line_number}")
         if isinstance(parsed, BadWorkload):
             problems += parsed.problems
         elif parsed is not None:
@@ -81,7 +81,7 @@
     return sorted(items, key=lambda item: item.at_ms)
 
 
-def _parse(line: str, where: str) -> Item | BadWorkload | None:
+def _parse_line(line: str, where: str) -> Item | BadWorkload | None:
     if not line.strip():
         return None
     try:
@@ -96,18 +96,22 @@
     return Item(**checked)
 
 
-def prompt_of(item: Item) -> str:
-    """Returns the prompt: shared dossier text, question, reference."""
+def build_prompt(item: Item) -> str:
+    """Returns the prompt: shared text, question and reference."""
     return f"{dossier_text(item)}\n{item.ask}\nref:{item.ref}"
 
 
 def dossier_text(item: Item) -> str:
-    """Returns text that is equal for all items with the same dossier."""
-    parts, size, number = [], 0, 0
-    while size < item.dossier_chars:
-        seed = f"{item.dossier}/{number}".encode()
+    """Returns a text prefix that items of the same dossier share.
+
+    It is derived from the name of the dossier and has ``dossier_chars``
+    characters.
+    """
+    parts, length, block_number = [], 0, 0
+    while length < item.dossier_chars:
+        seed = f"{item.dossier}/{block_number}".encode()
         part = hashlib.sha256(seed).hexdigest() + " "
         parts.append(part)
-        size += len(part)
-        number += 1
+        length += len(part)
+        block_number += 1
     return "".join(parts)[: item.dossier_chars]
