--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,10 +1,10 @@
-"""``make demo``: the whole path on loopback, with a table at the end.
+"""``make demo``: a complete system on loopback that prints a summary table.
 
 Starts three control processes, four entries in three failure domains, a
 platform with runners, and plain services; applies the Restwaarde inventory;
 sends its workload; reclaims an instance in the middle of streams and kills
-another; moves one version. Exits with 1 if a promise was broken. Ends only
-what it started.
+another; moves one version. Exits with 1 if a guarantee was violated. Stops
+only the processes it started.
 """
 
 import asyncio
@@ -24,33 +24,33 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 BIN = pathlib.Path(sys.executable).parent
 FIRST_PORT = int(os.environ.get("ARBUTUSWALK_DEMO_PORT", "17100"))
-CONTROL = [f"127.0.0.1:{FIRST_PORT + i}" for i in range(3)]
-ENTRIES = [f"127.0.0.1:{FIRST_PORT + 10 + i}" for i in range(4)]
-LINKS = [f"127.0.0.1:{FIRST_PORT + 20 + i}" for i in range(4)]
-PLATFORM = f"127.0.0.1:{FIRST_PORT + 30}"
+CONTROL_ADDRS = [f"127.0.0.1:{FIRST_PORT + i}" for i in range(3)]
+ENTRY_ADDRS = [f"127.0.0.1:{FIRST_PORT + 10 + i}" for i in range(4)]
+LINK_ADDRS = [f"127.0.0.1:{FIRST_PORT + 20 + i}" for i in range(4)]
+PLATFORM_ADDR = f"127.0.0.1:{FIRST_PORT + 30}"
 DOMAINS = ["nl-west-1", "nl-west-2", "nl-west-3"]
 WORKSPACES = ["veiling", "handel", "magazijn", "retour", "inkoop"]
-LIMIT_S = 110
-RECLAIM_AT_S = 6.0
-NOTICE_S = 2.0
-KILL_AFTER_S = 5.0
-MOVE_AT_S = 2.0
-REPEATS = 3
-"""How often the workload is sent, so that traffic lasts as long as the move."""
-LENGTH_MS = 18_000
-WORKLOAD = ROOT / "examples/restwaarde/workload.jsonl"
+COMMAND_TIMEOUT_S = 110
+RECLAIM_START_S = 6.0
+RECLAIM_NOTICE_S = 2.0
+KILL_DELAY_S = 5.0
+MOVE_START_S = 2.0
+WORKLOAD_REPEATS = 3
+"""Repeats of the workload, so that traffic lasts as long as the move."""
+WORKLOAD_DURATION_MS = 18_000
+WORKLOAD_FILE = ROOT / "examples/restwaarde/workload.jsonl"
 
 
 class Demo:
-    """The processes of one demo run."""
+    """The processes and files of one demo run."""
 
-    def __init__(self, folder):
-        self.folder = pathlib.Path(folder)
+    def __init__(self, directory):
+        self.directory = pathlib.Path(directory)
         self.processes = []
-        self.run_log = self.folder / "runs.log"
+        self.run_log = self.directory / "runs.log"
         self.run_log.touch()
 
-    def write(self, name, values):
+    def write_toml(self, name, values):
         """Writes a TOML file and returns its path."""
         lines = []
         tables = []
@@ -60,21 +60,21 @@
                 tables += [f"{k} = {json.dumps(v)}" for k, v in value.items()]
             else:
                 lines.append(f"{key} = {json.dumps(value)}")
-        path = self.folder / f"{name}.toml"
+        path = self.directory / f"{name}.toml"
         path.write_text("\n".join(lines + tables) + "\n", encoding="utf-8")
         return path
 
-    def start(self, binary, name, *arguments):
-        """Starts one process with its output in a file."""
-        log = open(self.folder / f"{name}.log", "wb")  # noqa: SIM115
+    def start(self, script, name, *arguments):
+        """Starts a process that writes its output to a file."""
+        log = open(self.directory / f"{name}.log", "wb")  # noqa: SIM115
         process = subprocess.Popen(
-            [str(BIN / binary), *map(str, arguments)], stdout=log, stderr=log
+            [str(BIN / script), *map(str, arguments)], stdout=log, stderr=log
         )
         self.processes.append(process)
         return process
 
-    def stop(self):
-        """Ends every process that was started, by its id."""
+    def stop_all(self):
+        """Stops the started processes by id; kills the rest after 5 s."""
         for process in self.processes:
             if process.poll() is None:
                 process.send_signal(signal.SIGTERM)
@@ -87,62 +87,62 @@
                 process.wait()
 
     def start_all(self):
-        """Starts control, entries and the platform."""
-        for i, address in enumerate(CONTROL):
+        """Starts the control processes, the entries and the platform."""
+        for i, address in enumerate(CONTROL_ADDRS):
             settings = {
                 "id": f"control-{i}",
                 "address": address,
-                "data": str(self.folder / f"data-{i}"),
-                "peers": CONTROL,
-                "platform": PLATFORM,
+                "data": str(self.directory / f"data-{i}"),
+                "peers": CONTROL_ADDRS,
+                "platform": PLATFORM_ADDR,
                 "interval_s": 3.0,
             }
-            path = self.write(f"control-{i}", settings)
+            path = self.write_toml(f"control-{i}", settings)
             self.start("arbutuswalk-control", f"control-{i}", path)
-        for i, address in enumerate(ENTRIES):
+        for i, address in enumerate(ENTRY_ADDRS):
             settings = {
                 "id": f"entry-{i}",
                 "address": address,
-                "link_address": LINKS[i],
+                "link_address": LINK_ADDRS[i],
                 "domain": DOMAINS[i % 3],
-                "control": CONTROL,
+                "control": CONTROL_ADDRS,
                 "drain_s": 1.0,
             }
-            path = self.write(f"entry-{i}", settings)
+            path = self.write_toml(f"entry-{i}", settings)
             self.start("arbutuswalk-entry", f"entry-{i}", path)
         settings = {
             "id": "platform",
-            "address": PLATFORM,
-            "entries": ENTRIES,
+            "address": PLATFORM_ADDR,
+            "entries": ENTRY_ADDRS,
             "first_port": FIRST_PORT + 40,
             "run_log": str(self.run_log),
         }
-        path = self.write("platform", settings)
+        path = self.write_toml("platform", settings)
         self.start("arbutuswalk-standin", "platform", "platform", path)
 
-    def cli(self, *arguments):
-        """Runs the command line and returns its parsed JSON and code."""
-        done = subprocess.run(
+    def run_cli(self, *arguments):
+        """Runs an operator command; returns its JSON, exit code and stderr."""
+        result = subprocess.run(
             [
                 str(BIN / "arbutuswalk"),
                 *map(str, arguments),
                 "--control",
-                ",".join(CONTROL),
+                ",".join(CONTROL_ADDRS),
                 "--json",
             ],
             capture_output=True,
             text=True,
             check=False,
-            timeout=LIMIT_S,
+            timeout=COMMAND_TIMEOUT_S,
         )
-        parsed = json.loads(done.stdout) if done.stdout.strip() else {}
-        return parsed, done.returncode, done.stderr
+        output = json.loads(result.stdout) if result.stdout.strip() else {}
+        return output, result.returncode, result.stderr
 
 
-async def order(session, instance, upstream, version, domain, kind, slots):
-    """Starts an instance on the platform."""
+async def order_instance(session, name, upstream, version, domain, kind, slots):
+    """Orders an instance from the platform."""
     spec = {
-        "id": instance,
+        "id": name,
         "upstream": upstream,
         "version": version,
         "domain": domain,
@@ -152,33 +152,33 @@
         "slots": slots,
     }
     async with session.post(
-        f"http://{PLATFORM}/v1/instances", json=spec
+        f"http://{PLATFORM_ADDR}/v1/instances", json=spec
     ) as response:
         response.raise_for_status()
 
 
-async def wait_until(check, what, limit_s=20):
-    """Polls ``check`` until it returns something true."""
-    deadline = time.monotonic() + limit_s
+async def wait_until(condition, description, timeout_s=20):
+    """Polls ``condition`` until it is true; exits after ``timeout_s``."""
+    deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         try:
-            if await check():
+            if await condition():
                 return
         except (aiohttp.ClientError, OSError, ValueError):
             pass
         await asyncio.sleep(0.1)
-    raise SystemExit(f"demo: {what} did not happen within {limit_s} s")
+    raise SystemExit(f"demo: {description} did not happen within {timeout_s} s")
 
 
-async def entries_ready(session):
-    """Tells whether an entry lists all four."""
-    async with session.get(f"http://{ENTRIES[0]}/v1/entries") as response:
-        return len((await response.json())["entries"]) == len(ENTRIES)
+async def all_entries_listed(session):
+    """Tells whether the first entry lists all four entries."""
+    async with session.get(f"http://{ENTRY_ADDRS[0]}/v1/entries") as response:
+        return len((await response.json())["entries"]) == len(ENTRY_ADDRS)
 
 
-async def upstreams_ready(session, token):
-    """Tells whether both upstreams answer at every entry."""
-    for address in ENTRIES:
+async def upstreams_answer(session, token):
+    """Tells whether both upstreams answer through every entry."""
+    for address in ENTRY_ADDRS:
         headers = {"Authorization": f"Bearer {token}"}
         body = {"model": "appraisal", "prompt": "ref:probe", "max_tokens": 1}
         url = f"http://{address}/v1/completions"
@@ -192,83 +192,83 @@
     return True
 
 
-async def busiest(session):
-    """Returns the runner instance that runs the most streams."""
-    async with session.get(f"http://{PLATFORM}/v1/instances") as response:
+async def find_busiest_runner(session):
+    """Returns the runner with the most streams, and their number."""
+    async with session.get(f"http://{PLATFORM_ADDR}/v1/instances") as response:
         instances = await response.json()
-    best, most = "", -1
-    for name, row in instances.items():
+    busiest_id, busiest_streams = "", -1
+    for instance_id, row in instances.items():
         if row["upstream"] != "appraisal" or not row["running"]:
             continue
         url = f"http://{row['address']}/standin/stats"
         async with session.get(url) as response:
             running = (await response.json())["running"]
-        if running > most:
-            best, most = name, running
-    return best, most
+        if running > busiest_streams:
+            busiest_id, busiest_streams = instance_id, running
+    return busiest_id, busiest_streams
 
 
-async def counters(session):
-    """Returns the sum of every counter over all entries."""
-    sums = collections.Counter()
-    for address in ENTRIES:
+async def sum_counters(session):
+    """Returns each counter summed over all entries."""
+    counters = collections.Counter()
+    for address in ENTRY_ADDRS:
         async with session.get(f"http://{address}/metrics") as response:
             for line in (await response.text()).splitlines():
                 name, _, value = line.rpartition(" ")
                 if "quantile" not in name:
-                    sums[name.split("{")[0]] += float(value)
-    return sums
+                    counters[name.split("{")[0]] += float(value)
+    return counters
 
 
-def repeat_workload(demo):
-    """Writes the workload several times over, each time with its own keys."""
+def write_repeated_workload(demo):
+    """Writes the repeated workload, with other keys in each repeat."""
     lines = []
-    for number in range(REPEATS):
-        for line in WORKLOAD.read_text(encoding="utf-8").splitlines():
+    for repeat in range(WORKLOAD_REPEATS):
+        for line in WORKLOAD_FILE.read_text(encoding="utf-8").splitlines():
             item = json.loads(line)
-            item["at_ms"] += number * LENGTH_MS
-            item["ref"] += f"-{number}"
+            item["at_ms"] += repeat * WORKLOAD_DURATION_MS
+            item["ref"] += f"-{repeat}"
             if item.get("key"):
-                item["key"] += f"-{number}"
+                item["key"] += f"-{repeat}"
             lines.append(json.dumps(item))
-    path = demo.folder / "workload.jsonl"
+    path = demo.directory / "workload.jsonl"
     path.write_text("\n".join(lines) + "\n", encoding="utf-8")
 
 
-def load_settings(demo):
-    """Writes the settings of the load tool."""
-    repeat_workload(demo)
-    return demo.write(
+def write_load_toml(demo):
+    """Writes the workload and the settings of ``arbutuswalk-load``."""
+    write_repeated_workload(demo)
+    return demo.write_toml(
         "load",
         {
-            "entries": ENTRIES,
-            "workload": str(demo.folder / "workload.jsonl"),
-            "report": str(demo.folder / "report.json"),
+            "entries": ENTRY_ADDRS,
+            "workload": str(demo.directory / "workload.jsonl"),
+            "report": str(demo.directory / "report.json"),
             "tokens": {name: f"token-{name}" for name in WORKSPACES},
         },
     )
 
 
 async def run(demo):
-    """Runs the demo; returns the rows of the table and broken promises."""
+    """Runs the demo; returns the rows of the table and the violations."""
     demo.start_all()
     async with aiohttp.ClientSession(
         timeout=aiohttp.ClientTimeout(total=10)
     ) as session:
-        await wait_until(lambda: entries_ready(session), "registration")
+        await wait_until(lambda: all_entries_listed(session), "registration")
         inventory = ROOT / "examples/restwaarde/inventory.toml"
         applied, code, error = await asyncio.to_thread(
-            demo.cli, "apply", inventory, "--wait", "--operator", "demo"
+            demo.run_cli, "apply", inventory, "--wait", "--operator", "demo"
         )
         if code:
             raise SystemExit(f"demo: apply failed: {error}")
         for i in range(5):
             domain = DOMAINS[i % 3]
-            await order(
+            await order_instance(
                 session, f"run-{i}", "appraisal", "v1", domain, "model", 8
             )
         for i in range(3):
-            await order(
+            await order_instance(
                 session,
                 f"claim-{i}",
                 "claiming",
@@ -278,96 +278,98 @@
                 64,
             )
         await wait_until(
-            lambda: upstreams_ready(session, "token-veiling"), "upstreams"
+            lambda: upstreams_answer(session, "token-veiling"), "upstreams"
         )
-        load = demo.start("arbutuswalk-load", "load", load_settings(demo))
-        await asyncio.sleep(MOVE_AT_S)
+        loader = demo.start("arbutuswalk-load", "load", write_load_toml(demo))
+        await asyncio.sleep(MOVE_START_S)
         for i in range(5):
             domain = DOMAINS[i % 3]
-            await order(
+            await order_instance(
                 session, f"new-{i}", "appraisal", "v2", domain, "model", 8
             )
         text = inventory.read_text(encoding="utf-8")
-        moved = demo.folder / "moved.toml"
-        moved.write_text(
+        moved_inventory = demo.directory / "moved.toml"
+        moved_inventory.write_text(
             text.replace('version = "v1"', 'version = "v2"', 1),
             encoding="utf-8",
         )
-        move = asyncio.ensure_future(
-            asyncio.to_thread(demo.cli, "apply", moved, "--wait")
+        move_task = asyncio.ensure_future(
+            asyncio.to_thread(demo.run_cli, "apply", moved_inventory, "--wait")
         )
-        await asyncio.sleep(RECLAIM_AT_S - MOVE_AT_S)
-        victim, streams = await busiest(session)
-        body = {"instance": victim, "notice_s": NOTICE_S}
+        await asyncio.sleep(RECLAIM_START_S - MOVE_START_S)
+        reclaimed, reclaimed_streams = await find_busiest_runner(session)
+        body = {"instance": reclaimed, "notice_s": RECLAIM_NOTICE_S}
         async with session.post(
-            f"http://{PLATFORM}/standin/reclaim", json=body
+            f"http://{PLATFORM_ADDR}/standin/reclaim", json=body
         ) as response:
             response.raise_for_status()
-        await asyncio.sleep(KILL_AFTER_S)
-        killed, lost = await busiest(session)
+        await asyncio.sleep(KILL_DELAY_S)
+        killed, killed_streams = await find_busiest_runner(session)
         async with session.post(
-            f"http://{PLATFORM}/standin/kill", json={"instance": killed}
+            f"http://{PLATFORM_ADDR}/standin/kill", json={"instance": killed}
         ) as response:
             response.raise_for_status()
-        await asyncio.to_thread(load.wait, LIMIT_S)
-        moved_result, move_code, _ = await move
+        await asyncio.to_thread(loader.wait, COMMAND_TIMEOUT_S)
+        moved_result, move_code, _ = await move_task
         await asyncio.sleep(3.5)
-        charges, _, _ = await asyncio.to_thread(demo.cli, "charges")
-        sums = await counters(session)
-    report = json.loads((demo.folder / "report.json").read_text())
-    return table(
+        charges, _, _ = await asyncio.to_thread(demo.run_cli, "charges")
+        counters = await sum_counters(session)
+    report = json.loads((demo.directory / "report.json").read_text())
+    return build_table(
         demo,
         report,
-        sums,
-        (victim, streams),
-        (killed, lost),
+        counters,
+        (reclaimed, reclaimed_streams),
+        (killed, killed_streams),
         moved_result,
         move_code,
         charges,
     )
 
 
-def table(demo, report, sums, reclaimed, killed, moved, move_code, charges):
-    """Returns the rows to print and the promises that were broken."""
-    workload = demo.folder / "workload.jsonl"
+def build_table(
+    demo, report, counters, reclaimed, killed, moved, move_code, charges
+):
+    """Returns the rows to print and the violated guarantees."""
+    workload = demo.directory / "workload.jsonl"
     items = [json.loads(line) for line in workload.read_text().splitlines()]
-    once = {
+    keys_sent = {
         item["key"]
         for item in items
         if item["kind"] == "service" and item.get("method", "POST") != "GET"
     }
-    runs = collections.Counter(demo.run_log.read_text().split())
-    doubled = [key for key, count in runs.items() if count > 1]
+    run_counts = collections.Counter(demo.run_log.read_text().split())
+    repeated = [key for key, count in run_counts.items() if count > 1]
     accounts = sum(charges["accounts"].values())
-    broken = []
+    violations = []
     if report["broken"]:
-        broken.append(f"{report['broken']} answers not whole")
+        violations.append(f"{report['broken']} broken answers")
     if report["unknown"]:
-        broken.append(f"{report['unknown']} accepted requests lost")
-    if doubled:
-        broken.append(f"calls ran twice: {doubled}")
+        violations.append(f"{report['unknown']} requests with unknown outcome")
+    if repeated:
+        violations.append(f"calls executed more than once: {repeated}")
     if move_code:
-        broken.append(f"good version not moved: {moved}")
+        violations.append(f"move of a good version failed: {moved}")
     if accounts != charges["billed_micro"]:
-        broken.append("charges do not sum to the bill")
-    counted = lambda name: int(sums[f"arbutuswalk_{name}"])  # noqa: E731
+        violations.append("charges do not add up to the bill")
+    counter = lambda name: int(counters[f"arbutuswalk_{name}"])  # noqa: E731
     rows = [
         ("requests sent", report["sent"]),
-        ("answered whole", report["whole"]),
-        ("refused, truly not run", report["refused"]),
-        ("reclaimed in mid-stream", f"{reclaimed[0]}, {reclaimed[1]} streams"),
+        ("answered completely", report["whole"]),
+        ("refused, not executed", report["refused"]),
+        ("reclaimed during streams", f"{reclaimed[0]}, {reclaimed[1]} streams"),
         ("killed without notice", f"{killed[0]}, {killed[1]} streams"),
-        ("streams resumed elsewhere", counted("resumed")),
-        ("caches moved", counted("caches_moved")),
-        ("recomputed tokens", counted("recomputed_tokens")),
+        ("streams resumed elsewhere", counter("resumed")),
+        ("caches moved", counter("caches_moved")),
+        ("recomputed tokens", counter("recomputed_tokens")),
         ("first token p95", f"{report['first_token_p95_s'] * 1000:.0f} ms"),
         (
             "between tokens p95",
             f"{report['between_tokens_p95_s'] * 1000:.0f} ms",
         ),
-        ("non-repeatable calls sent", len(once)),
-        ("non-repeatable calls run", len(runs)),
-        ("of these more than once", len(doubled)),
+        ("non-idempotent calls sent", len(keys_sent)),
+        ("non-idempotent calls executed", len(run_counts)),
+        ("executed more than once", len(repeated)),
         ("move", "; ".join(moved.get("moves", [str(moved)]))),
         (
             "charges / bill",
@@ -376,31 +378,31 @@
     ]
     if report["problems"]:
         rows.append(("notes", "; ".join(report["problems"][:3])))
-    rows.append(("broken promises", "; ".join(broken) or "none"))
-    return rows, broken
+    rows.append(("violated guarantees", "; ".join(violations) or "none"))
+    return rows, violations
 
 
 def main():
-    """Runs the demo and prints its table."""
-    folder = tempfile.mkdtemp(prefix="arbutuswalk-demo-")
-    demo = Demo(folder)
-    kept = False
+    """Runs the demo and prints its table; keeps its files on failure."""
+    directory = tempfile.mkdtemp(prefix="arbutuswalk-demo-")
+    demo = Demo(directory)
+    keep_files = False
     try:
-        rows, broken = asyncio.run(run(demo))
+        rows, violations = asyncio.run(run(demo))
         width = max(len(name) for name, _ in rows)
         for name, value in rows:
             print(f"{name:{width}}  {value}")
-        kept = bool(broken)
-        code = 1 if broken else 0
+        keep_files = bool(violations)
+        code = 1 if violations else 0
     except BaseException:
-        kept = True
+        keep_files = True
         raise
     finally:
-        demo.stop()
-        if kept:
-            print(f"logs are in {folder}", file=sys.stderr)
+        demo.stop_all()
+        if keep_files:
+            print(f"logs are in {directory}", file=sys.stderr)
         else:
-            shutil.rmtree(folder, ignore_errors=True)
+            shutil.rmtree(directory, ignore_errors=True)
     sys.exit(code)
 
 
--- a/tools/make_examples.py
+++ b/tools/make_examples.py
@@ -1,14 +1,14 @@
-"""Writes the example inventories' workload files; the result is committed."""
+"""Generates the workload files of the examples, which are committed."""
 
 import json
 import pathlib
 import random
 
-EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
+EXAMPLES_DIRECTORY = pathlib.Path(__file__).parent.parent / "examples"
 
 
-def model(at_ms, workspace, upstream, ref, rng, **extra):
-    """Returns one model request."""
+def make_model_request(at_ms, workspace, upstream, ref, rng, **extra):
+    """Returns a random model request."""
     item = {
         "at_ms": at_ms,
         "workspace": workspace,
@@ -25,8 +25,8 @@
     return {**item, **extra}
 
 
-def call(at_ms, workspace, upstream, ref, path, rng, **extra):
-    """Returns one call to a plain service."""
+def make_service_call(at_ms, workspace, upstream, ref, path, rng, **extra):
+    """Returns a call to a plain service, resent at random."""
     item = {
         "at_ms": at_ms,
         "workspace": workspace,
@@ -42,17 +42,21 @@
     return {**item, **extra}
 
 
-def restwaarde(rng):
-    """Yields appraisals over shared dossiers, replies and lot claims."""
-    shares = [("veiling", 6), ("handel", 4), ("magazijn", 2)]
-    shares += [("retour", 1), ("inkoop", 1)]
-    names = [name for name, n in shares for _ in range(n)]
+def restwaarde_requests(rng):
+    """Yields appraisals over shared dossiers, lot claims and lot reads."""
+    workspace_weights = [("veiling", 6), ("handel", 4), ("magazijn", 2)]
+    workspace_weights += [("retour", 1), ("inkoop", 1)]
+    workspaces = [
+        workspace
+        for workspace, weight in workspace_weights
+        for _ in range(weight)
+    ]
     for i in range(160):
         at_ms = int(i * 110 + rng.random() * 80)
         dossier = f"dossier-{int(rng.paretovariate(1.2)) % 24}"
-        yield model(
+        yield make_model_request(
             at_ms,
-            rng.choice(names),
+            rng.choice(workspaces),
             "appraisal",
             f"app-{i}",
             rng,
@@ -64,9 +68,9 @@
         at_ms = int(i * 145 + rng.random() * 100)
         lot = rng.randint(1, 60)
         if rng.random() < 0.6:
-            yield call(
+            yield make_service_call(
                 at_ms,
-                rng.choice(names),
+                rng.choice(workspaces),
                 "claiming",
                 f"claim-{i}",
                 "/claims",
@@ -74,9 +78,9 @@
                 body={"lot": lot},
             )
         else:
-            yield call(
+            yield make_service_call(
                 at_ms,
-                rng.choice(names),
+                rng.choice(workspaces),
                 "claiming",
                 f"lots-{i}",
                 f"/lots/{lot}",
@@ -86,17 +90,21 @@
             )
 
 
-def namib(rng):
-    """Yields alarm summaries, fault notes, restarts and status reads."""
-    shares = [("khomas-city", 5), ("erongo", 4), ("hardap", 2)]
-    shares += [("farm-board-north", 1), ("farm-board-south", 1)]
-    names = [name for name, n in shares for _ in range(n)]
+def namib_requests(rng):
+    """Yields alarm summaries, restarts, acknowledgements, status reads."""
+    workspace_weights = [("khomas-city", 5), ("erongo", 4), ("hardap", 2)]
+    workspace_weights += [("farm-board-north", 1), ("farm-board-south", 1)]
+    workspaces = [
+        workspace
+        for workspace, weight in workspace_weights
+        for _ in range(weight)
+    ]
     for i in range(140):
         at_ms = int(i * 125 + rng.random() * 90)
         station = f"station-{rng.randint(1, 30)}"
-        yield model(
+        yield make_model_request(
             at_ms,
-            rng.choice(names),
+            rng.choice(workspaces),
             "assistant",
             f"alarm-{i}",
             rng,
@@ -108,22 +116,22 @@
     for i in range(140):
         at_ms = int(i * 125 + rng.random() * 90)
         station = rng.randint(1, 30)
-        kind = rng.random()
-        who = rng.choice(names)
-        if kind < 0.3:
-            yield call(
+        draw = rng.random()
+        chosen_workspace = rng.choice(workspaces)
+        if draw < 0.3:
+            yield make_service_call(
                 at_ms,
-                who,
+                chosen_workspace,
                 "station-control",
                 f"restart-{i}",
                 f"/stations/{station}/restart",
                 rng,
                 body={"pump": rng.randint(1, 3)},
             )
-        elif kind < 0.6:
-            yield call(
+        elif draw < 0.6:
+            yield make_service_call(
                 at_ms,
-                who,
+                chosen_workspace,
                 "station-control",
                 f"ack-{i}",
                 "/alarms/ack",
@@ -131,9 +139,9 @@
                 body={"alarm": i},
             )
         else:
-            yield call(
+            yield make_service_call(
                 at_ms,
-                who,
+                chosen_workspace,
                 "station-control",
                 f"read-{i}",
                 f"/stations/{station}",
@@ -143,15 +151,15 @@
             )
 
 
-def write(name, items):
-    """Writes one workload file in order of time."""
+def write_workload(example, items):
+    """Writes the workload file of one example in order of time."""
     ordered = sorted(items, key=lambda item: item["at_ms"])
-    path = EXAMPLES / name / "workload.jsonl"
+    path = EXAMPLES_DIRECTORY / example / "workload.jsonl"
     path.parent.mkdir(parents=True, exist_ok=True)
     lines = [json.dumps(item, sort_keys=True) for item in ordered]
     path.write_text("\n".join(lines) + "\n", encoding="utf-8")
 
 
 if __name__ == "__main__":
-    write("restwaarde", restwaarde(random.Random(41)))
-    write("namib", namib(random.Random(42)))
+    write_workload("restwaarde", restwaarde_requests(random.Random(41)))
+    write_workload("namib", namib_requests(random.Random(42)))
