--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: ratios within one run, one module a subject."""
+"""Benchmarks, one module per subject; they compare within one run."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every benchmark, one after the other."""
+"""Runs the benchmarks of routing, moves, control and streams in turn."""
 
 from bench import control
 from bench import moves
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,4 @@
-"""The control group: commits, failover, recovery, snapshots, slopes."""
+"""The control group: commits, failover, recovery, snapshots, scaling."""
 
 import argparse
 import asyncio
@@ -17,10 +17,10 @@
 from _arbutuswalk.storage import wal
 from _arbutuswalk.wire import link
 from _arbutuswalk.wire.gen.arbutus import ttypes
-from bench import rig
+from bench import harness
 
 
-def begin_call(number, writer=0):
+def make_call(number, writer=0):
     return commands.BeginCall(
         "w",
         f"{writer}-{number}",
@@ -33,26 +33,26 @@
     )
 
 
-async def commits(seconds=3.0):
-    """Commits a second and p99, with sync, for one and for many writers."""
-    processes = rig.Processes()
-    out = []
+async def measure_commits(seconds=3.0):
+    """Synced commits per second and latencies, by number of writers."""
+    process_group = harness.ProcessGroup()
+    results = []
     try:
-        system = rig.System(processes, control=3, entries=0)
-        await system.begin()
+        system = harness.System(process_group, control_count=3, entry_count=0)
+        await system.start()
         leader = (await system.client.read("status", timeout_s=5))["leader"]
-        name = f"control-{system.control.index(leader)}"
-        for writers in (1, 8, 64, 256):
+        leader_name = f"control-{system.control_addresses.index(leader)}"
+        for writer_count in (1, 8, 64, 256):
             latencies = []
-            stop = time.monotonic() + seconds
+            stop_at = time.monotonic() + seconds
             connection = link.Link(address=leader)
-            before = rig.cpu_s(system.pids[name])
+            cpu_before_s = harness.cpu_s(system.pid_by_name[leader_name])
 
-            async def write(writer):
+            async def write_until_stop(writer):
                 number = 0
-                while time.monotonic() < stop:  # noqa: B023
+                while time.monotonic() < stop_at:  # noqa: B023
                     number += 1
-                    command = begin_call(number, f"{writers}-{writer}")  # noqa: B023
+                    command = make_call(number, f"{writer_count}-{writer}")  # noqa: B023
                     started = time.monotonic()
                     await connection.call(  # noqa: B023
                         ttypes.Submit(command=commands.encode(command)),
@@ -60,124 +60,136 @@
                     )
                     latencies.append(time.monotonic() - started)  # noqa: B023
 
-            await asyncio.gather(*(write(w) for w in range(writers)))
+            await asyncio.gather(
+                *(write_until_stop(w) for w in range(writer_count))
+            )
             await connection.stop()
-            spent = rig.cpu_s(system.pids[name]) - before
-            out.append(
+            cpu_used_s = (
+                harness.cpu_s(system.pid_by_name[leader_name]) - cpu_before_s
+            )
+            results.append(
                 {
-                    "writers": writers,
+                    "writers": writer_count,
                     "commits_s": len(latencies) / seconds,
-                    "p50_ms": rig.quantile(latencies, 0.5) * 1e3,
-                    "p99_ms": rig.quantile(latencies, 0.99) * 1e3,
-                    "leader_us": spent / len(latencies) * 1e6,
+                    "p50_ms": harness.quantile(latencies, 0.5) * 1e3,
+                    "p99_ms": harness.quantile(latencies, 0.99) * 1e3,
+                    "leader_us": cpu_used_s / len(latencies) * 1e6,
                 }
             )
         await system.client.stop()
     finally:
-        processes.end()
-    return out
+        process_group.stop_all()
+    return results
 
 
-async def failover(rounds=5):
-    """Seconds from the leader's kill to the next commit."""
-    took = []
+async def measure_failover(rounds=5):
+    """Seconds from killing the leader to the next commit."""
+    durations_s = []
     for _ in range(rounds):
-        processes = rig.Processes()
+        process_group = harness.ProcessGroup()
         try:
-            system = rig.System(processes, control=3, entries=0)
-            await system.begin()
+            system = harness.System(
+                process_group, control_count=3, entry_count=0
+            )
+            await system.start()
             status = await system.client.read("status", timeout_s=5)
-            i = system.control.index(status["leader"])
+            leader_index = system.control_addresses.index(status["leader"])
             await asyncio.sleep(0.5)
-            processes.started[i].kill()
-            rest = [a for a in system.control if a != status["leader"]]
-            client = control_client.ControlClient(addresses=rest)
+            process_group.started[leader_index].kill()
+            other_addresses = [
+                address
+                for address in system.control_addresses
+                if address != status["leader"]
+            ]
+            client = control_client.ControlClient(addresses=other_addresses)
             started = time.monotonic()
             await client.submit(commands.Tick(), timeout_s=20)
-            took.append(time.monotonic() - started)
+            durations_s.append(time.monotonic() - started)
             await client.stop()
             await system.client.stop()
         finally:
-            processes.end()
-    return took
+            process_group.stop_all()
+    return durations_s
 
 
-def make_core(path, snapshot_every=10**9):
-    core = replicated.Replicated(
+def make_durable_replica(path, snapshot_every=10**9):
+    durable_replica = replicated.Replicated(
         data=folder.Folder(path=path),
         identity=replicated.Identity("127.0.0.1:1", ("127.0.0.1:1",), 1),
         timing=types.Timing(),
         rng=random.Random(1),
         snapshot_every=snapshot_every,
     )
-    assert core.recover(0.0) is None
-    return core
+    assert durable_replica.recover(0.0) is None
+    return durable_replica
 
 
-def recovery():
-    """Seconds to recover from logs and snapshots of growing size."""
-    out = []
-    for entries in (1000, 10_000, 50_000):
+def measure_recovery():
+    """Seconds to read and apply a log, by number of its entries."""
+    results = []
+    for entry_count in (1000, 10_000, 50_000):
         with tempfile.TemporaryDirectory() as path:
-            data = folder.Folder(path=path)
-            data.open()
-            log = wal.Wal(folder=data)
+            data_folder = folder.Folder(path=path)
+            data_folder.open()
+            log = wal.Wal(folder=data_folder)
             log.recover()
-            payloads = [
+            log_entries = [
                 wal.LogEntry(
                     i + 1,
                     1,
-                    types.COMMAND + machine.stamp(begin_call(i), 1000 + i),
+                    types.COMMAND + machine.stamp(make_call(i), 1000 + i),
                 )
-                for i in range(entries)
+                for i in range(entry_count)
             ]
-            for start in range(0, entries, 500):
-                log.write(None, payloads[start : start + 500])
-            data.close()
+            for offset in range(0, entry_count, 500):
+                log.write(None, log_entries[offset : offset + 500])
+            data_folder.close()
             started = time.monotonic()
-            core = make_core(path)
+            durable_replica = make_durable_replica(path)
             read_s = time.monotonic() - started
-            core.replica.commit = entries
+            durable_replica.replica.commit = entry_count
             started = time.monotonic()
-            while core.apply_next() is not None:
+            while durable_replica.apply_next() is not None:
                 pass
-            out.append(
+            results.append(
                 {
-                    "entries": entries,
+                    "entries": entry_count,
                     "read_s": read_s,
                     "apply_s": time.monotonic() - started,
                 }
             )
-            core.data.close()
-    return out
+            durable_replica.data.close()
+    return results
 
 
-def snapshots():
-    """Bytes and seconds of a snapshot by rows in the tables."""
-    out = []
-    for calls in (1000, 10_000, 100_000):
+def measure_snapshots():
+    """Size of a snapshot and seconds to dump and load it, by its calls."""
+    results = []
+    for call_count in (1000, 10_000, 100_000):
         tables = rows.Tables()
-        register = commands.RegisterEntry("entry-0", 1, "a", "l", "d", 1, "r")
-        machine.apply(tables, machine.stamp(register, 1), 1)
-        for i in range(calls):
-            machine.apply(tables, machine.stamp(begin_call(i), 1), i + 2)
+        register_command = commands.RegisterEntry(
+            "entry-0", 1, "a", "l", "d", 1, "r"
+        )
+        machine.apply(tables, machine.stamp(register_command, 1), 1)
+        for i in range(call_count):
+            machine.apply(tables, machine.stamp(make_call(i), 1), i + 2)
         started = time.monotonic()
-        data = machine.dump(tables)
+        snapshot = machine.dump(tables)
         dump_s = time.monotonic() - started
         started = time.monotonic()
-        machine.load(data)
-        out.append(
+        machine.load(snapshot)
+        results.append(
             {
-                "calls": calls,
-                "bytes": len(data),
+                "calls": call_count,
+                "bytes": len(snapshot),
                 "dump_s": dump_s,
                 "load_s": time.monotonic() - started,
             }
         )
-    return out
+    return results
 
 
-def fake_report(upstreams):
+def make_report(upstream_count):
     return json.dumps(
         {
             "upstreams": {
@@ -191,7 +203,7 @@
                     3,
                     True,
                 ]
-                for i in range(upstreams)
+                for i in range(upstream_count)
             },
             "evidence": {"model|v1|chat": [1000, 3, 9, 980]},
             "cut": [],
@@ -202,28 +214,35 @@
     ).encode()
 
 
-async def entry_slope(counts=(8, 40, 120), upstreams=12, seconds=6.0):
-    """Leader's processor time, bytes and memory by number of entries."""
-    out = []
-    for entries in counts:
-        processes = rig.Processes()
+async def measure_entry_scaling(
+    entry_counts=(8, 40, 120), upstream_count=12, seconds=6.0
+):
+    """Cores, traffic and memory of the leader, by number of entries."""
+    results = []
+    for entry_count in entry_counts:
+        process_group = harness.ProcessGroup()
         try:
-            system = rig.System(processes, control=1, entries=0)
-            await system.begin()
-            address, pid = system.control[0], system.pids["control-0"]
+            system = harness.System(
+                process_group, control_count=1, entry_count=0
+            )
+            await system.start()
+            address, pid = (
+                system.control_addresses[0],
+                system.pid_by_name["control-0"],
+            )
             links = []
-            for i in range(entries):
+            for i in range(entry_count):
                 command = commands.RegisterEntry(
                     f"e{i}", 1, f"127.0.0.1:{i}", "127.0.0.1:1", "d1", 1, "r"
                 )
                 await system.client.submit(command, timeout_s=10)
-            report = fake_report(upstreams)
-            moved = {"bytes": 0, "syncs": 0}
-            stop = time.monotonic() + seconds + 2
+            report = make_report(upstream_count)
+            totals = {"bytes": 0, "syncs": 0}
+            stop_at = time.monotonic() + seconds + 2
 
-            async def follow(i, connection):
+            async def poll_leader(i, connection):
                 version = 0
-                while time.monotonic() < stop:  # noqa: B023
+                while time.monotonic() < stop_at:  # noqa: B023
                     message = ttypes.Sync(
                         entry=f"e{i}",
                         incarnation=1,
@@ -235,106 +254,136 @@
                     if not isinstance(reply, ttypes.SyncReply):
                         continue
                     version = reply.view_version or version
-                    moved["syncs"] += 1  # noqa: B023
-                    moved["bytes"] += len(report) + len(reply.view or b"") + 90  # noqa: B023
+                    totals["syncs"] += 1  # noqa: B023
+                    totals["bytes"] += len(report) + len(reply.view or b"") + 90  # noqa: B023
 
-            for _ in range(entries):
+            for _ in range(entry_count):
                 links.append(link.Link(address=address))
             tasks = [
-                asyncio.ensure_future(follow(i, links[i]))
-                for i in range(entries)
+                asyncio.ensure_future(poll_leader(i, links[i]))
+                for i in range(entry_count)
             ]
             await asyncio.sleep(2)
-            before = rig.cpu_s(pid), dict(moved), time.monotonic()
+            before = harness.cpu_s(pid), dict(totals), time.monotonic()
             await asyncio.sleep(seconds)
-            spent = rig.cpu_s(pid) - before[0]
-            took = time.monotonic() - before[2]
-            out.append(
+            cpu_used_s = harness.cpu_s(pid) - before[0]
+            elapsed_s = time.monotonic() - before[2]
+            results.append(
                 {
-                    "entries": entries,
-                    "cores": spent / took,
-                    "kb_s": (moved["bytes"] - before[1]["bytes"]) / took / 1e3,
-                    "syncs_s": (moved["syncs"] - before[1]["syncs"]) / took,
-                    "memory_mb": rig.memory_mb(pid),
+                    "entries": entry_count,
+                    "cores": cpu_used_s / elapsed_s,
+                    "kb_s": (totals["bytes"] - before[1]["bytes"])
+                    / elapsed_s
+                    / 1e3,
+                    "syncs_s": (totals["syncs"] - before[1]["syncs"])
+                    / elapsed_s,
+                    "memory_mb": harness.resident_memory_mb(pid),
                 }
             )
             for task in tasks:
                 task.cancel()
-            for each in links:
-                await each.stop()
+            for entry_link in links:
+                await entry_link.stop()
             await system.client.stop()
         finally:
-            processes.end()
-    return out
+            process_group.stop_all()
+    return results
 
 
-async def upstream_slope(counts=(20, 100, 400), seconds=6.0):
-    """An entry's processor time and memory by upstreams that announce."""
-    out = []
-    for upstreams in counts:
-        processes = rig.Processes()
+async def measure_upstream_scaling(upstream_counts=(20, 100, 400), seconds=6.0):
+    """Cores and memory of entries, by number of announcing upstreams.
+
+    The first entry receives the announcements, the second one learns of the
+    upstreams through the control group.
+    """
+    results = []
+    for upstream_count in upstream_counts:
+        process_group = harness.ProcessGroup()
         try:
-            system = rig.System(processes, control=1, entries=2)
-            await system.begin()
-            near, far = system.pids["entry-0"], system.pids["entry-1"]
-            engines = [f"127.0.0.1:{20000 + i}" for i in range(upstreams)]
-            task = asyncio.ensure_future(
-                rig.keep_announcing(system.entries[:1], engines)
+            system = harness.System(
+                process_group, control_count=1, entry_count=2
+            )
+            await system.start()
+            announced_pid, notified_pid = (
+                system.pid_by_name["entry-0"],
+                system.pid_by_name["entry-1"],
+            )
+            engine_addresses = [
+                f"127.0.0.1:{20000 + i}" for i in range(upstream_count)
+            ]
+            announce_task = asyncio.ensure_future(
+                harness.keep_announcing(
+                    system.entry_addresses[:1], engine_addresses
+                )
             )
             await asyncio.sleep(3)
-            before = rig.cpu_s(near), rig.cpu_s(far), time.monotonic()
+            before = (
+                harness.cpu_s(announced_pid),
+                harness.cpu_s(notified_pid),
+                time.monotonic(),
+            )
             await asyncio.sleep(seconds)
-            took = time.monotonic() - before[2]
-            out.append(
+            elapsed_s = time.monotonic() - before[2]
+            results.append(
                 {
-                    "upstreams": upstreams,
-                    "told_cores": (rig.cpu_s(near) - before[0]) / took,
-                    "news_cores": (rig.cpu_s(far) - before[1]) / took,
-                    "memory_mb": rig.memory_mb(far),
+                    "upstreams": upstream_count,
+                    "told_cores": (harness.cpu_s(announced_pid) - before[0])
+                    / elapsed_s,
+                    "news_cores": (harness.cpu_s(notified_pid) - before[1])
+                    / elapsed_s,
+                    "memory_mb": harness.resident_memory_mb(notified_pid),
                 }
             )
-            task.cancel()
+            announce_task.cancel()
             await system.client.stop()
         finally:
-            processes.end()
-    return out
+            process_group.stop_all()
+    return results
 
 
-async def in_force(entries=8, rounds=10):
-    """Seconds from the sending of a configuration until it is in force."""
-    processes = rig.Processes()
-    took = []
+async def measure_time_in_force(entry_count=8, rounds=10):
+    """Seconds from submitting a configuration until it is in force."""
+    process_group = harness.ProcessGroup()
+    durations_s = []
     try:
-        system = rig.System(processes, control=3, entries=entries)
-        await system.begin()
+        system = harness.System(
+            process_group, control_count=3, entry_count=entry_count
+        )
+        await system.start()
         for revision in range(2, 2 + rounds):
             command = commands.Apply(
-                f"op{revision}", "bench", revision - 1, rig.inventory()
+                f"op{revision}", "bench", revision - 1, harness.make_inventory()
             )
             started = time.monotonic()
             await system.client.submit(command, timeout_s=10)
             while True:
-                found = await system.client.read(
+                reply = await system.client.read(
                     "in_force", str(revision), timeout_s=5
                 )
-                if isinstance(found, dict) and found["in_force"]:
+                if isinstance(reply, dict) and reply["in_force"]:
                     break
                 await asyncio.sleep(0.005)
-            took.append(time.monotonic() - started)
+            durations_s.append(time.monotonic() - started)
         await system.client.stop()
     finally:
-        processes.end()
-    return took
+        process_group.stop_all()
+    return durations_s
 
 
 SUBJECTS = {
-    "commits": lambda: asyncio.run(commits()),
-    "failover": lambda: [{"seconds": took} for took in asyncio.run(failover())],
-    "in_force": lambda: [{"seconds": took} for took in asyncio.run(in_force())],
-    "recovery": recovery,
-    "snapshots": snapshots,
-    "entries": lambda: asyncio.run(entry_slope()),
-    "upstreams": lambda: asyncio.run(upstream_slope()),
+    "commits": lambda: asyncio.run(measure_commits()),
+    "failover": lambda: [
+        {"seconds": duration_s}
+        for duration_s in asyncio.run(measure_failover())
+    ],
+    "in_force": lambda: [
+        {"seconds": duration_s}
+        for duration_s in asyncio.run(measure_time_in_force())
+    ],
+    "recovery": measure_recovery,
+    "snapshots": measure_snapshots,
+    "entries": lambda: asyncio.run(measure_entry_scaling()),
+    "upstreams": lambda: asyncio.run(measure_upstream_scaling()),
 }
 
 
@@ -342,10 +391,10 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("subjects", nargs="*", default=list(SUBJECTS))
     for subject in parser.parse_args().subjects:
-        found = SUBJECTS[subject]()
+        results = SUBJECTS[subject]()
         print(subject)
-        print("  " + "".join(f"{key:>14}" for key in found[0]))
-        for row in found:
+        print("  " + "".join(f"{key:>14}" for key in results[0]))
+        for row in results:
             print("  " + "".join(f"{value:14.4g}" for value in row.values()))
 
 
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -1,7 +1,8 @@
-"""Version moves: good ones done in time, bad ones taken back, at what cost.
+"""Version moves: whether good ones complete and bad ones are taken back.
 
-Drives the real decisions and the entries' local cut-off on synthetic traffic;
-the baseline is a canary of fixed steps with fixed thresholds.
+Runs the real move policy and the local cut-off of the entries on synthetic
+traffic, and counts the requests that fail. The baseline is a canary with fixed
+steps and a fixed threshold.
 """
 
 import copy
@@ -13,20 +14,20 @@
 from _arbutuswalk.state import machine
 from _arbutuswalk.state import moveplan
 from _arbutuswalk.state import tables as rows
-from bench import rig
+from bench import harness
 
-SEEDS = 40
-RATE = 40.0
+SEED_COUNT = 40
+REQUESTS_PER_S = 40.0
 TICK_S = 0.25
 DEADLINE_S = 300
 BAKE_S = 30
-BASE_ERROR = 0.004
-BASE_SLOW = 0.1
-FIXED_STEPS = (50, 250, 500, 1000)
-FIXED_STEP_S = 40
-FIXED_THRESHOLD = 0.05
-GOOD = ("good", "good, quiet", "good, shared incident")
-BAD = (
+BASE_ERROR_RATE = 0.004
+BASE_SLOW_RATE = 0.1
+FIXED_SHARES_PERMILLE = (50, 250, 500, 1000)
+FIXED_STEP_DURATION_S = 40
+FIXED_ERROR_THRESHOLD = 0.05
+GOOD_CASES = ("good", "good, quiet", "good, shared incident")
+BAD_CASES = (
     "fails at once",
     "fails a tenth",
     "fails late",
@@ -36,9 +37,9 @@
 )
 
 
-def inventory(version):
-    made = copy.deepcopy(
-        rig.inventory(
+def make_inventory(version):
+    inventory = copy.deepcopy(
+        harness.make_inventory(
             upstreams=[
                 {
                     "name": "model",
@@ -53,30 +54,39 @@
             ]
         )
     )
-    assert inventories.find_upstream(made, "model")
-    return made
+    assert inventories.find_upstream(inventory, "model")
+    return inventory
 
 
-class Fixed:
-    """The baseline's decision: fixed steps, fixed threshold."""
+class FixedStepPolicy:
+    """The baseline policy: fixed steps and a fixed error threshold."""
 
     def __init__(self):
-        self.since_ms = None
+        self.started_ms = None
 
     def __call__(self, tables, reports, now_ms):
-        steps = []
+        step_commands = []
         for move, row in tables.moves.items():
             if row.state not in ("waiting", "growing", "baking"):
                 continue
-            if self.since_ms is None:
-                self.since_ms = now_ms
-            sums = moveplan.sum_reports(reports)
-            new = [sums.get(f"model|{row.new}|{r}") for r in row.shares]
-            ran = sum(s.ran for s in new if s)
-            failed = sum(s.errors for s in new if s)
-            step = int((now_ms - self.since_ms) / 1000 / FIXED_STEP_S)
-            if ran >= 20 and failed / ran > FIXED_THRESHOLD:
-                steps.append(
+            if self.started_ms is None:
+                self.started_ms = now_ms
+            counts_by_key = moveplan.sum_reports(reports)
+            new_counts = [
+                counts_by_key.get(f"model|{row.new}|{r}") for r in row.shares
+            ]
+            request_count = sum(counts.ran for counts in new_counts if counts)
+            failure_count = sum(
+                counts.errors for counts in new_counts if counts
+            )
+            step_index = int(
+                (now_ms - self.started_ms) / 1000 / FIXED_STEP_DURATION_S
+            )
+            if (
+                request_count >= 20
+                and failure_count / request_count > FIXED_ERROR_THRESHOLD
+            ):
+                step_commands.append(
                     commands.StepMove(
                         move,
                         row.step,
@@ -85,22 +95,24 @@
                         "threshold",
                     )
                 )
-            elif step >= len(FIXED_STEPS):
-                steps.append(
+            elif step_index >= len(FIXED_SHARES_PERMILLE):
+                step_commands.append(
                     commands.StepMove(
                         move, row.step, "done", row.shares, "steps"
                     )
                 )
-            elif FIXED_STEPS[step] != max(row.shares.values()):
-                shares = dict.fromkeys(row.shares, FIXED_STEPS[step])
-                steps.append(
+            elif FIXED_SHARES_PERMILLE[step_index] != max(row.shares.values()):
+                shares = dict.fromkeys(
+                    row.shares, FIXED_SHARES_PERMILLE[step_index]
+                )
+                step_commands.append(
                     commands.StepMove(move, row.step, "growing", shares, "step")
                 )
-        return steps
+        return step_commands
 
 
-class Ours:
-    """The product's decision."""
+class ProductPolicy:
+    """The policy of this project."""
 
     def __init__(self):
         self.trials = moveplan.Trials()
@@ -109,26 +121,31 @@
         return moveplan.decide(tables, reports, self.trials, now_ms)
 
 
-def behaviour(case, route, share, elapsed_s):
-    """Returns the new version's chances to fail and to be slow."""
-    error, slow = BASE_ERROR, BASE_SLOW
+def new_version_rates(case, route, share, elapsed_s):
+    """Returns the rates of failed and of slow requests to the new version."""
+    error_rate, slow_rate = BASE_ERROR_RATE, BASE_SLOW_RATE
     if case == "fails at once":
-        error = 0.5
+        error_rate = 0.5
     elif case == "fails a tenth":
-        error = 0.1
+        error_rate = 0.1
     elif case == "fails late" and elapsed_s > 60:
-        error = 0.5
+        error_rate = 0.5
     elif case == "fails under load" and share >= 250:
-        error = 0.4
+        error_rate = 0.4
     elif case == "fails on one route" and route == "completions":
-        error = 0.5
+        error_rate = 0.5
     elif case == "slow at once":
-        slow = 0.6
-    return error, slow
+        slow_rate = 0.6
+    return error_rate, slow_rate
 
 
-def run(case, decide, rng, *, local_cut):
-    """Runs one move; returns outcome, seconds, bad requests, traffic."""
+def simulate_move(case, policy, rng, *, local_cut_off):
+    """Simulates one move.
+
+    Returns:
+        Final state, seconds, bad requests, all requests, and bad requests
+        more than 5 s after the first one.
+    """
     tables = rows.Tables()
     now_ms = 1000
     index = 0
@@ -138,92 +155,123 @@
         index += 1
         machine.apply(tables, machine.stamp(command, now_ms), index)
 
-    commit(commands.Apply("a", "x", 0, inventory("v1")))
-    commit(commands.Apply("b", "x", 1, inventory("v2")))
+    commit(commands.Apply("a", "x", 0, make_inventory("v1")))
+    commit(commands.Apply("b", "x", 1, make_inventory("v2")))
     entries = [evidence.Evidence() for _ in range(7)]
-    rate = 3.0 if case == "good, quiet" else RATE
-    bad = traffic = new_bad_after = 0
-    shown_at = None
-    due = 0.0
+    requests_per_s = 3.0 if case == "good, quiet" else REQUESTS_PER_S
+    bad_requests = total_requests = late_bad_requests = 0
+    first_bad_at_s = None
+    due_requests = 0.0
     while True:
         now_ms += int(TICK_S * 1000)
         elapsed_s = now_ms / 1000 - 1
         (move, row), *_ = tables.moves.items()
         if row.state in ("done", "taken_back"):
             break
-        due += rate * TICK_S
-        count, due = int(due), due - int(due)
-        for _ in range(count):
+        due_requests += requests_per_s * TICK_S
+        due_now, due_requests = (
+            int(due_requests),
+            due_requests - int(due_requests),
+        )
+        for _ in range(due_now):
             route = rng.choice(("chat", "completions"))
             share = row.shares[route]
             entry = rng.choice(entries)
-            side = evidence.Side("model", "v2", route)
-            old = evidence.Side("model", "v1", route)
-            new = rng.random() * 1000 < share
-            if new and local_cut and side in entry.cut:
-                new = False
-            error, slow = BASE_ERROR, BASE_SLOW
+            new_key = evidence.Side("model", "v2", route)
+            old_key = evidence.Side("model", "v1", route)
+            uses_new = rng.random() * 1000 < share
+            if uses_new and local_cut_off and new_key in entry.cut:
+                uses_new = False
+            error_rate, slow_rate = BASE_ERROR_RATE, BASE_SLOW_RATE
             if case == "good, shared incident" and 40 < elapsed_s < 70:
-                error = 0.3
-            if new and case in BAD:
-                error, slow = behaviour(case, route, share, elapsed_s)
-            failed = rng.random() < error
-            late = rng.random() < slow
-            traffic += 1
-            if new and case in BAD and (failed or (late and slow > 0.5)):
-                bad += 1
-                shown_at = elapsed_s if shown_at is None else shown_at
-                new_bad_after += elapsed_s > shown_at + 5
+                error_rate = 0.3
+            if uses_new and case in BAD_CASES:
+                error_rate, slow_rate = new_version_rates(
+                    case, route, share, elapsed_s
+                )
+            failed = rng.random() < error_rate
+            is_slow = rng.random() < slow_rate
+            total_requests += 1
+            if (
+                uses_new
+                and case in BAD_CASES
+                and (failed or (is_slow and slow_rate > 0.5))
+            ):
+                bad_requests += 1
+                first_bad_at_s = (
+                    elapsed_s if first_bad_at_s is None else first_bad_at_s
+                )
+                late_bad_requests += elapsed_s > first_bad_at_s + 5
             entry.note(
-                side if new else old,
+                new_key if uses_new else old_key,
                 failed=failed,
-                latency_s=1.0 if late else 0.1,
-                baseline=old if new else None,
-                on_trial=new,
+                latency_s=1.0 if is_slow else 0.1,
+                baseline=old_key if uses_new else None,
+                on_trial=uses_new,
             )
         reports = {
             str(i): {
                 "evidence": {
-                    "|".join(s): [c.ran, c.errors, c.slow, c.timed]
-                    for s, c in entry.counts.items()
+                    "|".join(key): [
+                        counts.ran,
+                        counts.errors,
+                        counts.slow,
+                        counts.timed,
+                    ]
+                    for key, counts in entry.counts.items()
                 },
                 "upstreams": {"u": ["model", "v2", "i", "d", "c", 4, 0, True]},
             }
             for i, entry in enumerate(entries)
         }
-        for step in decide(tables, reports, now_ms):
-            commit(step)
+        for step_command in policy(tables, reports, now_ms):
+            commit(step_command)
     del move
-    return row.state, elapsed_s, bad, traffic, new_bad_after
+    return row.state, elapsed_s, bad_requests, total_requests, late_bad_requests
 
 
 def main():
     print(
-        f"{SEEDS} seeds; two routes, {RATE:.0f} requests/s (quiet: 3),"
+        f"{SEED_COUNT} seeds; two routes,"
+        f" {REQUESTS_PER_S:.0f} requests/s (quiet: 3),"
         f" deadline {DEADLINE_S} s, bake {BAKE_S} s"
     )
     print(
         f"{'case':24}{'policy':8}{'right':>7}{'seconds':>9}"
         f"{'bad':>7}{'of traffic':>11}{'5 s later':>10}"
     )
-    for case in (*GOOD, *BAD):
-        right = "taken_back" if case in BAD else "done"
-        for name, make, local in (
-            ("ours", Ours, True),
-            ("fixed", Fixed, False),
+    for case in (*GOOD_CASES, *BAD_CASES):
+        expected_state = "taken_back" if case in BAD_CASES else "done"
+        for policy_name, policy_class, local_cut_off in (
+            ("ours", ProductPolicy, True),
+            ("fixed", FixedStepPolicy, False),
         ):
             results = [
-                run(case, make(), random.Random(9000 + i), local_cut=local)
-                for i in range(SEEDS)
+                simulate_move(
+                    case,
+                    policy_class(),
+                    random.Random(9000 + i),
+                    local_cut_off=local_cut_off,
+                )
+                for i in range(SEED_COUNT)
             ]
-            hits = sum(result[0] == right for result in results)
-            bad = rig.quantile([r[2] for r in results], 0.5)
-            share = rig.quantile([r[2] / r[3] for r in results], 0.5)
-            after = max(r[4] for r in results)
-            took = rig.quantile([r[1] for r in results], 0.5)
+            correct_count = sum(
+                result[0] == expected_state for result in results
+            )
+            bad_requests = harness.quantile(
+                [result[2] for result in results], 0.5
+            )
+            bad_share = harness.quantile(
+                [result[2] / result[3] for result in results], 0.5
+            )
+            late_bad_requests = max(result[4] for result in results)
+            duration_s = harness.quantile(
+                [result[1] for result in results], 0.5
+            )
             print(
-                f"{case:24}{name:8}{hits:4}/{SEEDS:<3}{took:8.0f}"
-                f"{bad:8.0f}{share * 100:10.2f}%{after:10.0f}"
+                f"{case:24}{policy_name:8}{correct_count:4}/{SEED_COUNT:<3}"
+                f"{duration_s:8.0f}{bad_requests:8.0f}"
+                f"{bad_share * 100:10.2f}%{late_bad_requests:10.0f}"
             )
 
 
--- a/bench/plain_relay.py
+++ b/bench/plain_relay.py
@@ -1,4 +1,4 @@
-"""The baseline: a StreamingResponse over iter_any, and nothing else."""
+"""A baseline relay: a StreamingResponse over iter_any without checks."""
 
 import sys
 
@@ -9,8 +9,8 @@
 from starlette import routing
 
 
-def make(upstreams):
-    """Returns the application that relays to ``upstreams`` in turn."""
+def make_app(upstream_addresses):
+    """Returns an application that relays to the addresses in turn."""
     state = {"next": 0, "session": None}
 
     async def relay(request):
@@ -18,13 +18,13 @@
             connector = aiohttp.TCPConnector(limit=0)
             state["session"] = aiohttp.ClientSession(connector=connector)
         state["next"] += 1
-        address = upstreams[state["next"] % len(upstreams)]
-        answer = await state["session"].post(
+        address = upstream_addresses[state["next"] % len(upstream_addresses)]
+        upstream_response = await state["session"].post(
             f"http://{address}{request.url.path}", data=await request.body()
         )
 
         async def chunks():
-            async for chunk in answer.content.iter_any():
+            async for chunk in upstream_response.content.iter_any():
                 yield chunk
 
         return responses.StreamingResponse(
@@ -39,7 +39,7 @@
 if __name__ == "__main__":
     host, _, port = sys.argv[1].rpartition(":")
     uvicorn.run(
-        make(sys.argv[2:]),
+        make_app(sys.argv[2:]),
         host=host,
         port=int(port),
         log_level="error",
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,7 +1,7 @@
-"""Processor time of relaying, per request and per event, and start-up time.
+"""Processor time of relaying, per request and per event, and import time.
 
-Callers, endpoints and the relay run in one process; the same traffic without
-the relay is taken off. ``python -m bench.relay``.
+Callers, endpoints and the relay share one process; the processor time of the
+same traffic without the relay is subtracted. Run by ``python -m bench.relay``.
 """
 
 import asyncio
@@ -20,106 +20,108 @@
 
 from _arbutuswalk.state import routeconfig  # noqa: E402
 
-REQUESTS = 2000
-EVENTS = 20000
-HEAD = (
+REQUEST_COUNT = 2000
+EVENT_COUNT = 20000
+REQUEST = (
     b"POST /a/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: attempt-1\r\n"
     b"X-Key: key\r\nX-Deadline-Ms: 60000\r\nContent-Length: 4\r\n\r\nbody"
 )
 
 
-async def ask(port, end):
-    """Sends one request on a new connection; returns what came."""
+async def send_request(port, end_marker):
+    """Sends one request on a new connection; returns its answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(HEAD)
-    data = await reader.readuntil(end)
+    writer.write(REQUEST)
+    answer = await reader.readuntil(end_marker)
     writer.close()
-    return data
+    return answer
 
 
-async def requests(port, count):
-    """Sends requests on one kept connection."""
+async def send_requests(port, request_count):
+    """Sends requests in sequence on one connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    for _ in range(count):
-        writer.write(HEAD)
+    for _ in range(request_count):
+        writer.write(REQUEST)
         await reader.readuntil(b"\r\n\r\nok")
     writer.close()
 
 
-async def measure(work):
-    """Returns the processor seconds that ``work`` took."""
-    before = time.process_time()
-    await work
-    return time.process_time() - before
+async def measure_cpu_s(awaitable):
+    """Returns the processor seconds that ``awaitable`` took."""
+    started_s = time.process_time()
+    await awaitable
+    return time.process_time() - started_s
 
 
-async def run_requests():
-    """Returns microseconds of processor for each relayed request."""
+async def measure_request_us():
+    """Returns the processor time of a relayed request in microseconds."""
     relay = relays.make_relay()
     endpoint = await relays.Endpoint().start(relay)
-    direct = endpoint.server.sockets[0].getsockname()[1]
+    endpoint_port = endpoint.server.sockets[0].getsockname()[1]
     listener = server.Listener(
         address="127.0.0.1:0", app=callers.make_app(relay)
     )
     await listener.start()
-    port = listener.server.sockets[0].getsockname()[1]
-    alone = await measure(requests(direct, REQUESTS))
-    relayed = await measure(requests(port, REQUESTS))
+    relay_port = listener.server.sockets[0].getsockname()[1]
+    direct_s = await measure_cpu_s(send_requests(endpoint_port, REQUEST_COUNT))
+    relayed_s = await measure_cpu_s(send_requests(relay_port, REQUEST_COUNT))
     endpoint.stop()
     await listener.stop()
-    return (relayed - alone) / REQUESTS * 1e6
+    return (relayed_s - direct_s) / REQUEST_COUNT * 1e6
 
 
-async def run_events():
-    """Returns microseconds of processor for each relayed event."""
+async def measure_event_us():
+    """Returns the processor time of a relayed event in microseconds."""
     route = relays.make_route(kind=routeconfig.STREAM, timeout_s=60.0)
     relay = relays.make_relay(relays.make_config(route))
-    events = [(number, "text " * 10) for number in range(EVENTS)]
+    events = [(number, "text " * 10) for number in range(EVENT_COUNT)]
     steps = [relays.stream(*events), relays.stream(*events)]
     endpoint = await relays.Endpoint(*steps).start(relay)
-    direct = endpoint.server.sockets[0].getsockname()[1]
+    endpoint_port = endpoint.server.sockets[0].getsockname()[1]
     listener = server.Listener(
         address="127.0.0.1:0", app=callers.make_app(relay)
     )
     await listener.start()
-    port = listener.server.sockets[0].getsockname()[1]
-    end = f"id: {EVENTS - 1}\n".encode()
-    alone = await measure(drain(direct, end))
-    relayed = await measure(drain(port, end))
+    relay_port = listener.server.sockets[0].getsockname()[1]
+    end_marker = f"id: {EVENT_COUNT - 1}\n".encode()
+    direct_s = await measure_cpu_s(read_stream(endpoint_port, end_marker))
+    relayed_s = await measure_cpu_s(read_stream(relay_port, end_marker))
     endpoint.stop()
     await listener.stop()
-    return (relayed - alone) / EVENTS * 1e6
+    return (relayed_s - direct_s) / EVENT_COUNT * 1e6
 
 
-async def drain(port, end):
-    """Reads a stream until its last event."""
+async def read_stream(port, end_marker):
+    """Sends a request and reads its stream until ``end_marker``."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(HEAD)
+    writer.write(REQUEST)
     tail = b""
-    while end not in tail:
-        tail = tail[-len(end) :] + await reader.read(65536)
+    while end_marker not in tail:
+        tail = tail[-len(end_marker) :] + await reader.read(65536)
     writer.close()
 
 
-def run_start(program):
-    """Returns seconds until a program has read its imports."""
+def measure_import_s(program):
+    """Returns the seconds that a program takes to import its modules."""
     code = (
         f"import sys; sys.path[:0] = ['src', 'platform'];"
         f"import arbutuswalk_platform.{program}"
     )
-    before = time.monotonic()
+    started_s = time.monotonic()
     subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
-    return time.monotonic() - before
+    return time.monotonic() - started_s
 
 
 def main():
-    """Prints the figures."""
+    """Runs the benchmark and prints its results."""
     print(f"processors: {os.cpu_count()}")
-    print(f"request: {asyncio.run(run_requests()):.0f} us of processor")
-    print(f"event: {asyncio.run(run_events()):.1f} us of processor")
+    print(
+        f"request: {asyncio.run(measure_request_us()):.0f} us of processor time"
+    )
+    print(f"event: {asyncio.run(measure_event_us()):.1f} us of processor time")
     for program in ("entry", "control"):
-        best = min(run_start(program) for _ in range(5))
-        print(f"start of {program}: {best:.2f} s until imports are done")
+        shortest_s = min(measure_import_s(program) for _ in range(5))
+        print(f"start of {program}: {shortest_s:.2f} s until its imports end")
 
 
 if __name__ == "__main__":
--- a/bench/sim.py
+++ b/bench/sim.py
@@ -1,9 +1,9 @@
-"""Fake engines on a virtual clock, for the decisions alone.
+"""Simulated engines on a virtual clock, to compare routing decisions.
 
-An engine batches continuously: each step gives every running request a token,
-and a fuller batch makes the step longer. Its prefix cache is bounded, its load
-report lags by half a second. This is a rig for decisions, no simulator of
-clusters: no network, no processes.
+An engine uses continuous batching: each step generates one token of every
+running request, and takes longer the more requests run. Its prefix cache is
+bounded, and its load is reported every half second. Network and processes are
+not simulated.
 """
 
 import collections
@@ -15,21 +15,21 @@
 from _arbutuswalk.routing import prefixes
 from _arbutuswalk.routing import upstreams
 
-REPORT_S = 0.5
-STEP_S = 0.022
-STEP_PER_RUNNING_S = 0.0012
+REPORT_INTERVAL_S = 0.5
+BASE_STEP_S = 0.022
+STEP_S_PER_RUNNING_REQUEST = 0.0012
 PREFILL_TOKENS_PER_S = 6000.0
 
 
-def said(identity, slots, running, cache_tokens, sequence):
+def make_announcement(engine_id, slots, running, cache_tokens, sequence):
     return {
-        "id": identity,
+        "id": engine_id,
         "incarnation": 1,
         "sequence": sequence,
         "address": "127.0.0.1:1",
         "upstream": "model",
         "version": "v1",
-        "instance": identity,
+        "instance": engine_id,
         "domain": "d1",
         "instance_class": "c",
         "slots": slots,
@@ -41,149 +41,164 @@
 
 
 class Clock:
-    """Events in order of time."""
+    """A virtual clock that runs scheduled actions in order of time."""
 
     def __init__(self):
         self.now = 0.0
-        self.heap = []
-        self.order = itertools.count()
+        self.queue = []
+        self.sequence_numbers = itertools.count()
 
-    def at(self, when, action):
-        heapq.heappush(self.heap, (when, next(self.order), action))
+    def schedule(self, due_at, action):
+        heapq.heappush(
+            self.queue, (due_at, next(self.sequence_numbers), action)
+        )
 
     def run(self, until):
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, action = heapq.heappop(self.heap)
+        while self.queue and self.queue[0][0] <= until:
+            self.now, _, action = heapq.heappop(self.queue)
             action()
 
 
 class Engine:
-    """One engine."""
+    """A simulated engine with slots, a queue and a prefix cache."""
 
-    def __init__(self, clock, identity, slots=16, cache_tokens=40_000):
+    def __init__(self, clock, engine_id, slots=16, cache_tokens=40_000):
         self.clock = clock
-        self.identity = identity
+        self.engine_id = engine_id
         self.slots = slots
-        self.capacity = cache_tokens // prefixes.BLOCK_TOKENS
+        self.cache_capacity_blocks = cache_tokens // prefixes.BLOCK_TOKENS
         self.cache_tokens = cache_tokens
-        self.cache = collections.OrderedDict()
+        self.cached_blocks = collections.OrderedDict()
         self.running = []
         self.waiting = collections.deque()
         self.prefill_until = 0.0
-        self.computed = 0
-        self.stored = []
-        self.removed = []
-        self.stepping = False
-
-    def submit(self, job):
-        self.waiting.append(job)
-        if not self.stepping:
-            self.stepping = True
+        self.computed_tokens = 0
+        self.stored_blocks = []
+        self.removed_blocks = []
+        self.is_stepping = False
+
+    def submit(self, request):
+        self.waiting.append(request)
+        if not self.is_stepping:
+            self.is_stepping = True
             self._step()
 
-    def _admit(self):
-        spent = 0.0
+    def _admit_waiting(self):
+        duration_s = 0.0
         while self.waiting and len(self.running) < self.slots:
-            job = self.waiting.popleft()
-            held = 0
-            for block in job.features.blocks:
-                if block not in self.cache:
+            request = self.waiting.popleft()
+            cached_tokens = 0
+            for block in request.features.blocks:
+                if block not in self.cached_blocks:
                     break
-                held += prefixes.BLOCK_TOKENS
-            uncached = max(0, job.features.prompt_tokens - held)
-            self.computed += uncached
-            spent += uncached / PREFILL_TOKENS_PER_S
-            for block in job.features.blocks:
-                if block not in self.cache:
-                    self.stored.append(block)
-                self.cache[block] = None
-                self.cache.move_to_end(block)
-            while len(self.cache) > self.capacity:
-                self.removed.append(self.cache.popitem(last=False)[0])
-            self.running.append(job)
-        return spent
+                cached_tokens += prefixes.BLOCK_TOKENS
+            uncached_tokens = max(
+                0, request.features.prompt_tokens - cached_tokens
+            )
+            self.computed_tokens += uncached_tokens
+            duration_s += uncached_tokens / PREFILL_TOKENS_PER_S
+            for block in request.features.blocks:
+                if block not in self.cached_blocks:
+                    self.stored_blocks.append(block)
+                self.cached_blocks[block] = None
+                self.cached_blocks.move_to_end(block)
+            while len(self.cached_blocks) > self.cache_capacity_blocks:
+                self.removed_blocks.append(
+                    self.cached_blocks.popitem(last=False)[0]
+                )
+            self.running.append(request)
+        return duration_s
 
     def _step(self):
-        spent = self._admit()
+        duration_s = self._admit_waiting()
         if not self.running:
-            self.stepping = False
+            self.is_stepping = False
             return
-        spent += STEP_S + STEP_PER_RUNNING_S * len(self.running)
-        self.clock.at(self.clock.now + spent, self._finish_step)
+        duration_s += BASE_STEP_S + STEP_S_PER_RUNNING_REQUEST * len(
+            self.running
+        )
+        self.clock.schedule(self.clock.now + duration_s, self._finish_step)
 
     def _finish_step(self):
         now = self.clock.now
-        for job in self.running:
-            job.token(now)
-        for job in [j for j in self.running if j.left <= 0]:
-            self.running.remove(job)
-            job.ended(now)
+        for request in self.running:
+            request.record_token(now)
+        for request in [
+            finished for finished in self.running if finished.tokens_left <= 0
+        ]:
+            self.running.remove(request)
+            request.finish(now)
         self._step()
 
 
-class Job:
-    """One request."""
+class SimulatedRequest:
+    """A request and the times of its tokens."""
 
-    def __init__(self, number, prompt, tokens, arrived, workspace="w"):
+    def __init__(self, number, prompt, max_tokens, arrived_at, workspace="w"):
         self.number = number
         self.features = choose.features_of(prompt)
-        self.left = tokens
-        self.arrived = arrived
+        self.tokens_left = max_tokens
+        self.arrived_at = arrived_at
         self.workspace = workspace
-        self.first = None
-        self.last = None
-        self.gaps = []
-        self.done_at = None
+        self.first_token_s = None
+        self.last_token_at = None
+        self.token_gaps_s = []
+        self.finished_at = None
         self.on_end = lambda: None
 
-    def token(self, now):
-        if self.first is None:
-            self.first = now - self.arrived
+    def record_token(self, now):
+        if self.first_token_s is None:
+            self.first_token_s = now - self.arrived_at
         else:
-            self.gaps.append(now - self.last)
-        self.last = now
-        self.left -= 1
+            self.token_gaps_s.append(now - self.last_token_at)
+        self.last_token_at = now
+        self.tokens_left -= 1
 
-    def ended(self, now):
-        self.done_at = now
+    def finish(self, now):
+        self.finished_at = now
         self.on_end()
 
 
-class Pool:
-    """Engines and what several entries know of them.
+class SimulatedFleet:
+    """Engines and the upstream tables of several entries.
 
-    Cache events reach all entries with the next report; every
-    ``lost_every``-th is lost.
+    Cache events are sent to all entries with the load reports, except those of
+    every ``lost_report_interval``-th report, which are lost.
     """
 
-    def __init__(self, clock, engines, entries, lost_every=7):
-        self.lost_every = lost_every
+    def __init__(self, clock, engines, entry_count, lost_report_interval=7):
+        self.lost_report_interval = lost_report_interval
         self.clock = clock
-        self.engines = {engine.identity: engine for engine in engines}
-        self.tables = [upstreams.Table() for _ in range(entries)]
+        self.engines = {engine.engine_id: engine for engine in engines}
+        self.entry_tables = [upstreams.Table() for _ in range(entry_count)]
         self.sequence = 0
-        self.report()
+        self.send_reports()
 
-    def _publish(self, engine):
-        stored, removed = engine.stored, engine.removed
-        engine.stored, engine.removed = [], []
-        if self.sequence % self.lost_every == 0:
+    def _send_cache_event(self, engine):
+        stored_blocks, removed_blocks = (
+            engine.stored_blocks,
+            engine.removed_blocks,
+        )
+        engine.stored_blocks, engine.removed_blocks = [], []
+        if self.sequence % self.lost_report_interval == 0:
             return
-        for table in self.tables:
-            row = table.rows.get(engine.identity)
+        for table in self.entry_tables:
+            row = table.rows.get(engine.engine_id)
             if row is not None:
-                row.index.apply_event(self.sequence, stored, removed)
+                row.index.apply_event(
+                    self.sequence, stored_blocks, removed_blocks
+                )
 
-    def report(self):
+    def send_reports(self):
         self.sequence += 1
         for engine in self.engines.values():
-            self._publish(engine)
+            self._send_cache_event(engine)
             running = len(engine.running) + len(engine.waiting)
-            for table in self.tables:
+            for table in self.entry_tables:
                 upstreams.announce(
                     table,
-                    said(
-                        engine.identity,
+                    make_announcement(
+                        engine.engine_id,
                         engine.slots,
                         running,
                         engine.cache_tokens,
@@ -191,28 +206,36 @@
                     ),
                     heard_at=self.clock.now,
                 )
-        self.clock.at(self.clock.now + REPORT_S, self.report)
+        self.clock.schedule(
+            self.clock.now + REPORT_INTERVAL_S, self.send_reports
+        )
 
 
-def dossier_jobs(rng, count, rate, dossiers=40, reuse=1.1):
-    """Returns jobs over shared dossiers, as Restwaarde's appraisals."""
-    jobs = []
+def make_dossier_requests(
+    rng, request_count, requests_per_s, dossier_count=40, pareto_shape=1.1
+):
+    """Returns requests that share dossiers, as appraisals of Restwaarde."""
+    requests = []
     now = 0.0
-    texts = [
+    dossier_texts = [
         f"dossier {i} "
         + "".join(
             rng.choice("abcdefghijklmnop")
             for _ in range(rng.randint(4000, 12000))
         )
-        for i in range(dossiers)
+        for i in range(dossier_count)
     ]
-    for number in range(count):
-        now += rng.expovariate(rate)
-        text = texts[int(rng.paretovariate(reuse)) % dossiers]
-        prompt = f"{text}\nlot {number}"
-        jobs.append(Job(number, prompt, rng.randint(30, 150), now))
-    return jobs
+    for number in range(request_count):
+        now += rng.expovariate(requests_per_s)
+        dossier_text = dossier_texts[
+            int(rng.paretovariate(pareto_shape)) % dossier_count
+        ]
+        prompt = f"{dossier_text}\nlot {number}"
+        requests.append(
+            SimulatedRequest(number, prompt, rng.randint(30, 150), now)
+        )
+    return requests
 
 
-def seeds(count):
+def make_rngs(count):
     return [random.Random(7000 + i) for i in range(count)]
--- a/bench/sink.py
+++ b/bench/sink.py
@@ -1,4 +1,4 @@
-"""Opens streams at one address, counts tokens, and reports delays as JSON."""
+"""Opens streams to an address; reports token counts and delays as JSON."""
 
 import asyncio
 import json
@@ -6,16 +6,19 @@
 import sys
 import time
 
-SAMPLE_EVERY = 8
+CHUNKS_PER_SAMPLE = 8
 
 
-class Client(asyncio.Protocol):
-    """One stream."""
+class StreamClient(asyncio.Protocol):
+    """One stream; the class attributes sum over all streams.
 
-    tokens = 0
-    ended = 0
-    delays = []
-    seen = 0
+    The delay of one token is sampled in every ``CHUNKS_PER_SAMPLE``-th chunk.
+    """
+
+    token_count = 0
+    ended_count = 0
+    delays_ms = []
+    chunk_count = 0
 
     def __init__(self, request):
         self.request = request
@@ -26,29 +29,29 @@
         transport.write(self.request)
 
     def data_received(self, data):
-        count = data.count(b"data: {")
-        Client.tokens += count
-        Client.seen += 1
-        if count and Client.seen % SAMPLE_EVERY == 0:
-            stamp = data.split(b"@", 2)
-            if len(stamp) == 3:
-                delay = time.monotonic_ns() - int(stamp[1])
-                Client.delays.append(delay / 1e6)
+        event_count = data.count(b"data: {")
+        StreamClient.token_count += event_count
+        StreamClient.chunk_count += 1
+        if event_count and StreamClient.chunk_count % CHUNKS_PER_SAMPLE == 0:
+            stamp_parts = data.split(b"@", 2)
+            if len(stamp_parts) == 3:
+                delay_ns = time.monotonic_ns() - int(stamp_parts[1])
+                StreamClient.delays_ms.append(delay_ns / 1e6)
         if b"[DONE]" in data:
             self.done = True
-            Client.ended += 1
+            StreamClient.ended_count += 1
             self.transport.close()
 
     def connection_lost(self, _error):
         pass
 
 
-def request_for(number, tokens):
+def make_request(number, max_tokens):
     body = json.dumps(
         {
             "model": "model",
             "prompt": f"ref:{number}",
-            "max_tokens": tokens,
+            "max_tokens": max_tokens,
             "stream": True,
         }
     ).encode()
@@ -60,28 +63,32 @@
     ) + body
 
 
-async def main(address, streams, tokens, report):
+async def main(address, stream_count, tokens_per_stream, report_path):
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
-    for number in range(streams):
-        request = request_for(number, tokens)
+    for number in range(stream_count):
+        request = make_request(number, tokens_per_stream)
         await loop.create_connection(
-            lambda request=request: Client(request), host, int(port)
+            lambda request=request: StreamClient(request), host, int(port)
         )
         if number % 20 == 19:
             await asyncio.sleep(0.02)
-    while Client.ended < streams:
+    while StreamClient.ended_count < stream_count:
         await asyncio.sleep(0.1)
-        delays = sorted(Client.delays[-50_000:])
-        state = {
-            "tokens": Client.tokens,
-            "ended": Client.ended,
-            "p50_ms": delays[len(delays) // 2] if delays else 0,
-            "p99_ms": delays[int(len(delays) * 0.99)] if delays else 0,
+        recent_delays_ms = sorted(StreamClient.delays_ms[-50_000:])
+        counts = {
+            "tokens": StreamClient.token_count,
+            "ended": StreamClient.ended_count,
+            "p50_ms": recent_delays_ms[len(recent_delays_ms) // 2]
+            if recent_delays_ms
+            else 0,
+            "p99_ms": recent_delays_ms[int(len(recent_delays_ms) * 0.99)]
+            if recent_delays_ms
+            else 0,
         }
-        with open(f"{report}.new", "w", encoding="utf-8") as file:
-            json.dump(state, file)
-        os.replace(f"{report}.new", report)
+        with open(f"{report_path}.new", "w", encoding="utf-8") as file:
+            json.dump(counts, file)
+        os.replace(f"{report_path}.new", report_path)
 
 
 if __name__ == "__main__":
