--- a/bench/control.py
+++ b/bench/control.py
@@ -137,7 +137,7 @@
                 wal.LogEntry(
                     i + 1,
                     1,
-                    types.COMMAND + machine.stamp(make_call(i), 1000 + i),
+                    types.COMMAND_KIND + machine.stamp(make_call(i), 1000 + i),
                 )
                 for i in range(entry_count)
             ]
--- a/testing/worlds.py
+++ b/testing/worlds.py
@@ -156,9 +156,9 @@
     """A link to another entry that never opens."""
 
     async def call(self, message, *, timeout_s):
-        return link.LinkDown(reason="deaf", sent=False)
+        return link.LinkDown(reason="deaf", possibly_sent=False)
 
-    def post(self, message):
+    def send_oneway(self, message):
         return False
 
 
