--- a/src/_arbutuswalk/standin/announcer.py
+++ b/src/_arbutuswalk/standin/announcer.py
@@ -76,10 +76,10 @@
         await self._post(session, "announce", announcement)
 
     async def _post(
-        self, session: aiohttp.ClientSession, endpoint: str, body: Any
+        self, session: aiohttp.ClientSession, resource: str, body: Any
     ) -> None:
         for _ in range(len(self.entries)):
-            url = f"http://{self.entries[0]}/v1/upstreams/{endpoint}"
+            url = f"http://{self.entries[0]}/v1/upstreams/{resource}"
             try:
                 async with session.post(url, json=body) as response:
                     await response.read()
--- a/src/_arbutuswalk/standin/base_upstream.py
+++ b/src/_arbutuswalk/standin/base_upstream.py
@@ -95,9 +95,9 @@
         self.reclaim_at = time.monotonic() + notice_s
         self.announcer.announce_now()
 
-    def has_active_faults(self, route: str, running: int) -> bool:
+    def has_active_faults(self, route: str, running_count: int) -> bool:
         """Tells whether faults apply to ``route`` now."""
-        return self.faults.are_active(route, running, time.monotonic())
+        return self.faults.are_active(route, running_count, time.monotonic())
 
     async def set_faults(
         self, request: http_requests.Request
--- a/src/_arbutuswalk/standin/faults.py
+++ b/src/_arbutuswalk/standin/faults.py
@@ -38,12 +38,12 @@
         self.values = values
         self.set_at = set_at
 
-    def are_active(self, route: str, running: int, now: float) -> bool:
+    def are_active(self, route: str, running_count: int, now: float) -> bool:
         """Tells whether faults apply to ``route`` at this time and load."""
         values = self.values
         if values["route"] and values["route"] != route:
             return False
-        if running < values["from_running"]:
+        if running_count < values["from_running"]:
             return False
         return now - self.set_at >= values["after_s"]
 
--- a/src/_arbutuswalk/standin/runner.py
+++ b/src/_arbutuswalk/standin/runner.py
@@ -94,8 +94,8 @@
     ) -> responses.Response:
         prompt = shapes.prompt_of(body)
         switches = self.faults.values
-        running = self.engine.running_count
-        faults_active = self.has_active_faults(route, running)
+        running_count = self.engine.running_count
+        faults_active = self.has_active_faults(route, running_count)
         if (
             faults_active
             and switches["die_on"]
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -310,7 +310,7 @@
         ) as response:
             response.raise_for_status()
         await asyncio.to_thread(loader.wait, COMMAND_TIMEOUT_S)
-        moved_result, move_code, _ = await move_task
+        move_result, move_exit_code, _ = await move_task
         await asyncio.sleep(3.5)
         charges, _, _ = await asyncio.to_thread(demo.run_cli, "charges")
         counters = await sum_counters(session)
@@ -321,14 +321,21 @@
         counters,
         (reclaimed, reclaimed_streams),
         (killed, killed_streams),
-        moved_result,
-        move_code,
+        move_result,
+        move_exit_code,
         charges,
     )
 
 
 def build_table(
-    demo, report, counters, reclaimed, killed, moved, move_code, charges
+    demo,
+    report,
+    counters,
+    reclaimed,
+    killed,
+    move_result,
+    move_exit_code,
+    charges,
 ):
     """Returns the rows to print and the violated guarantees."""
     workload = demo.directory / "workload.jsonl"
@@ -348,8 +355,8 @@
         violations.append(f"{report['unknown']} requests with unknown outcome")
     if repeated:
         violations.append(f"calls executed more than once: {repeated}")
-    if move_code:
-        violations.append(f"move of a good version failed: {moved}")
+    if move_exit_code:
+        violations.append(f"move of a good version failed: {move_result}")
     if accounts != charges["billed_micro"]:
         violations.append("charges do not add up to the bill")
     counter = lambda name: int(counters[f"arbutuswalk_{name}"])  # noqa: E731
@@ -370,7 +377,7 @@
         ("non-idempotent calls sent", len(keys_sent)),
         ("non-idempotent calls executed", len(run_counts)),
         ("executed more than once", len(repeated)),
-        ("move", "; ".join(moved.get("moves", [str(moved)]))),
+        ("move", "; ".join(move_result.get("moves", [str(move_result)]))),
         (
             "charges / bill",
             f"{accounts / 1e6:.6f} / {charges['billed_micro'] / 1e6:.6f}",
