--- a/tools/demo.py
+++ b/tools/demo.py
@@ -310,7 +310,7 @@
         ) as response:
             response.raise_for_status()
         await asyncio.to_thread(loader.wait, COMMAND_TIMEOUT_S)
-        move_result, move_exit_code, _ = await move_task
+        move_result, move_code, _ = await move_task
         await asyncio.sleep(3.5)
         charges, _, _ = await asyncio.to_thread(demo.run_cli, "charges")
         counters = await sum_counters(session)
@@ -322,20 +322,13 @@
         (reclaimed, reclaimed_streams),
         (killed, killed_streams),
         move_result,
-        move_exit_code,
+        move_code,
         charges,
     )
 
 
 def build_table(
-    demo,
-    report,
-    counters,
-    reclaimed,
-    killed,
-    move_result,
-    move_exit_code,
-    charges,
+    demo, report, counters, reclaimed, killed, move_result, move_code, charges
 ):
     """Returns the rows to print and the violated guarantees."""
     workload = demo.directory / "workload.jsonl"
@@ -355,7 +348,7 @@
         violations.append(f"{report['unknown']} requests with unknown outcome")
     if repeated:
         violations.append(f"calls executed more than once: {repeated}")
-    if move_exit_code:
+    if move_code:
         violations.append(f"move of a good version failed: {move_result}")
     if accounts != charges["billed_micro"]:
         violations.append("charges do not add up to the bill")
