--- a/bench/control.py
+++ b/bench/control.py
@@ -8,10 +8,10 @@
 import time
 
 from _arbutuswalk.agreement import types
-from _arbutuswalk.control import replicated
+from _arbutuswalk.control import durable_replica
 from _arbutuswalk.entry import control_client
 from _arbutuswalk.state import commands
-from _arbutuswalk.state import machine
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from _arbutuswalk.storage import folder
 from _arbutuswalk.storage import wal
@@ -113,15 +113,15 @@
 
 
 def make_durable_replica(path, snapshot_every=10**9):
-    durable_replica = replicated.Replicated(
+    recovered_replica = durable_replica.DurableReplica(
         data=folder.Folder(path=path),
-        identity=replicated.Identity("127.0.0.1:1", ("127.0.0.1:1",), 1),
+        identity=durable_replica.Identity("127.0.0.1:1", ("127.0.0.1:1",), 1),
         timing=types.Timing(),
         rng=random.Random(1),
         snapshot_every=snapshot_every,
     )
-    assert durable_replica.recover(0.0) is None
-    return durable_replica
+    assert recovered_replica.recover(0.0) is None
+    return recovered_replica
 
 
 def measure_recovery():
@@ -137,7 +137,8 @@
                 wal.LogEntry(
                     i + 1,
                     1,
-                    types.COMMAND_KIND + machine.stamp(make_call(i), 1000 + i),
+                    types.COMMAND_KIND
+                    + state_machine.stamp(make_call(i), 1000 + i),
                 )
                 for i in range(entry_count)
             ]
@@ -145,11 +146,11 @@
                 log.write(None, log_entries[offset : offset + 500])
             data_folder.close()
             started = time.monotonic()
-            durable_replica = make_durable_replica(path)
+            recovered_replica = make_durable_replica(path)
             read_s = time.monotonic() - started
-            durable_replica.replica.commit = entry_count
+            recovered_replica.replica.commit = entry_count
             started = time.monotonic()
-            while durable_replica.apply_next() is not None:
+            while recovered_replica.apply_next() is not None:
                 pass
             results.append(
                 {
@@ -158,7 +159,7 @@
                     "apply_s": time.monotonic() - started,
                 }
             )
-            durable_replica.data.close()
+            recovered_replica.data.close()
     return results
 
 
@@ -170,14 +171,16 @@
         register_command = commands.RegisterEntry(
             "entry-0", 1, "a", "l", "d", 1, "r"
         )
-        machine.apply(tables, machine.stamp(register_command, 1), 1)
+        state_machine.apply(tables, state_machine.stamp(register_command, 1), 1)
         for i in range(call_count):
-            machine.apply(tables, machine.stamp(make_call(i), 1), i + 2)
+            state_machine.apply(
+                tables, state_machine.stamp(make_call(i), 1), i + 2
+            )
         started = time.monotonic()
-        snapshot = machine.dump(tables)
+        snapshot = state_machine.dump(tables)
         dump_s = time.monotonic() - started
         started = time.monotonic()
-        machine.load(snapshot)
+        state_machine.load(snapshot)
         results.append(
             {
                 "calls": call_count,
--- a/bench/harness.py
+++ b/bench/harness.py
@@ -110,7 +110,7 @@
             "workspaces": [
                 {
                     "name": "w",
-                    "token_sha256": inventories.digest(WORKSPACE_TOKEN),
+                    "token_sha256": inventories.sha256_hex(WORKSPACE_TOKEN),
                 }
             ],
             "upstreams": [
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -11,8 +11,8 @@
 from _arbutuswalk.routing import evidence
 from _arbutuswalk.state import commands
 from _arbutuswalk.state import inventory as inventories
-from _arbutuswalk.state import machine
-from _arbutuswalk.state import moveplan
+from _arbutuswalk.state import move_policy
+from _arbutuswalk.state import state_machine
 from _arbutuswalk.state import tables as rows
 from bench import harness
 
@@ -71,7 +71,7 @@
                 continue
             if self.started_ms is None:
                 self.started_ms = now_ms
-            counts_by_key = moveplan.sum_reports(reports)
+            counts_by_key = move_policy.sum_reports(reports)
             new_counts = [
                 counts_by_key.get(f"model|{row.new}|{r}") for r in row.shares
             ]
@@ -115,10 +115,10 @@
     """The policy of this project."""
 
     def __init__(self):
-        self.trials = moveplan.Trials()
+        self.trials = move_policy.MoveTrials()
 
     def __call__(self, tables, reports, now_ms):
-        return moveplan.decide(tables, reports, self.trials, now_ms)
+        return move_policy.decide(tables, reports, self.trials, now_ms)
 
 
 def new_version_rates(case, route, share, elapsed_s):
@@ -153,7 +153,7 @@
     def commit(command):
         nonlocal index
         index += 1
-        machine.apply(tables, machine.stamp(command, now_ms), index)
+        state_machine.apply(tables, state_machine.stamp(command, now_ms), index)
 
     commit(commands.Apply("a", "x", 0, make_inventory("v1")))
     commit(commands.Apply("b", "x", 1, make_inventory("v2")))
--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -1,4 +1,4 @@
-"""One whole exchange with a plain service."""
+"""One complete HTTP exchange with a service."""
 
 import dataclasses
 from typing import NamedTuple
@@ -11,12 +11,12 @@
 from _arbutuswalk.streams import pool as pools
 from _arbutuswalk.streams import replies
 
-BODY_METHODS = ("POST", "PUT", "PATCH")
+METHODS_WITH_BODY = ("POST", "PUT", "PATCH")
 MAX_REPLY_BYTES = 8 * 1024 * 1024
 
 
 class Order(NamedTuple):
-    """What to send.
+    """A call to send.
 
     Attributes:
         address: ``IP:port`` of the upstream.
@@ -26,8 +26,8 @@
         body: Body.
         request_id: Id of the call.
         attempt_id: Id of this attempt.
-        key: Idempotency key to pass on, or empty.
-        priority: Passed on.
+        key: Idempotency key to forward, or empty.
+        priority: Priority to forward.
         echo: Whether the upstream echoes ids.
     """
 
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """A whole answer to this very attempt."""
+    """A complete answer to this attempt."""
 
     status: int
     content_type: str
@@ -54,14 +54,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotOpened:
-    """No connection opened: the upstream cannot have seen the call."""
+    """No connection opened, so the upstream cannot have received the call."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The call may have reached the upstream; there is no whole answer."""
+    """No complete answer; the call may have reached the upstream."""
 
     reason: str
 
@@ -72,64 +72,64 @@
 async def run(
     pool: pools.Pool, order: Order, *, timeout_s: float, fresh: bool
 ) -> Result:
-    """Sends one call and reads its whole answer.
+    """Sends one call and reads its complete answer.
 
     Args:
         pool: Connections to upstreams.
-        order: What to send.
-        timeout_s: Time for all of it.
-        fresh: Whether the call needs a connection that was never used, which
-            cannot be silent from an earlier use.
+        order: The call.
+        timeout_s: Time for the whole exchange.
+        fresh: Whether to open a new connection, since a pooled one may have
+            gone dead after its last use.
     """
-    until = clock.monotonic() + timeout_s
+    deadline = clock.monotonic() + timeout_s
     if fresh:
-        opened = await pool.open(order.address)
+        connection = await pool.open(order.address)
     else:
-        opened = await pool.take(order.address, careful=False)
-    if isinstance(opened, pools.NotOpened):
-        return NotOpened(reason=opened.reason)
+        connection = await pool.acquire(order.address, non_idempotent=False)
+    if isinstance(connection, pools.NotOpened):
+        return NotOpened(reason=connection.reason)
     exchange = connections.Exchange(
-        sent_id=order.attempt_id, has_body=order.method != "HEAD"
+        expected_id=order.attempt_id, has_body=order.method != "HEAD"
     )
-    opened.begin(encode(order), exchange)
+    connection.send_request(encode_request(order), exchange)
     try:
-        result = await _follow(opened, exchange, order, until)
+        result = await _read_reply(connection, exchange, order, deadline)
     except BaseException:
-        opened.abort()
+        connection.abort()
         raise
     if isinstance(result, Reply):
-        pool.give_back(opened)
+        pool.release(connection)
     else:
-        opened.abort()
+        connection.abort()
     return result
 
 
-async def _follow(
-    opened: connections.Connection,
+async def _read_reply(
+    connection: connections.Connection,
     exchange: connections.Exchange,
     order: Order,
-    until: float,
+    deadline: float,
 ) -> Result:
-    """Collects a whole answer whose end can be told from a cut."""
+    """Reads an answer whose end can be told from a broken connection."""
     body = bytearray()
     while True:
-        body += exchange.take()
-        opened.taken()
-        if attempts.crossed(exchange, order.echo):
-            got = exchange.crossed_id
-            return Lost(reason=f"answer to another attempt: {got!r}")
-        if opened.until_close:
+        body += exchange.take_body()
+        connection.resume_reading()
+        if attempts.is_mismatched(exchange, order.echo):
+            answered_id = exchange.mismatched_id
+            return Lost(reason=f"answer to another attempt: {answered_id!r}")
+        if connection.ends_at_close:
             return Lost(reason="answer without length or end marker")
         if len(body) > MAX_REPLY_BYTES:
             return Lost(reason="answer too large")
-        if exchange.over:
+        if exchange.ended:
             break
-        left_s = until - clock.monotonic()
-        if not await exchange.news_within(left_s):
+        left_s = deadline - clock.monotonic()
+        if not await exchange.wait_for_change(left_s):
             return Lost(reason="no whole answer in time")
     if not exchange.complete:
         return Lost(reason=exchange.failure)
-    content_type = replies.first(exchange.headers, b"content-type")
+    content_type = replies.first_value(exchange.headers, b"content-type")
     return Reply(
         status=exchange.status,
         content_type=content_type.decode("latin-1"),
@@ -137,8 +137,8 @@
     )
 
 
-def encode(order: Order) -> bytes:
-    """Returns the bytes of a call."""
+def encode_request(order: Order) -> bytes:
+    """Returns the HTTP/1.1 request bytes of a call."""
     target = yarl.URL(f"http://{order.address}{order.path}").raw_path_qs
     headers = {
         "Host": order.address,
@@ -149,7 +149,7 @@
     }
     if order.key:
         headers["Idempotency-Key"] = order.key
-    if order.body or order.method in BODY_METHODS:
+    if order.body or order.method in METHODS_WITH_BODY:
         headers["Content-Length"] = str(len(order.body))
     lines = [f"{order.method} {target} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
--- a/src/_arbutuswalk/load/callers.py
+++ b/src/_arbutuswalk/load/callers.py
@@ -271,7 +271,7 @@
             result.token_gaps_s.append(now - self.last_event_at)
         self.last_event_at = now
         self.events.append(event_data)
-        self.ended = event_data == framing.DONE
+        self.ended = event_data == framing.DONE_EVENT
 
 
 def _model_body(item: workload.Item) -> dict[str, Any]:
--- a/src/_arbutuswalk/standin/runner.py
+++ b/src/_arbutuswalk/standin/runner.py
@@ -11,7 +11,7 @@
 from starlette import routing
 
 from _arbutuswalk.base import settings
-from _arbutuswalk.entry import requests as shapes
+from _arbutuswalk.entry import model_requests
 from _arbutuswalk.standin import base_upstream
 from _arbutuswalk.standin import engine as engines
 
@@ -59,12 +59,12 @@
         return applications.Starlette(
             routes=[
                 routing.Route(
-                    shapes.PATHS["completions"],
+                    model_requests.ROUTE_PATHS["completions"],
                     self._make_completion_handler("completions"),
                     methods=post_only,
                 ),
                 routing.Route(
-                    shapes.PATHS["chat"],
+                    model_requests.ROUTE_PATHS["chat"],
                     self._make_completion_handler("chat"),
                     methods=post_only,
                 ),
@@ -92,7 +92,7 @@
     async def _run_completion(
         self, request: http_requests.Request, body: dict, route: str
     ) -> responses.Response:
-        prompt = shapes.prompt_of(body)
+        prompt = model_requests.prompt_of(body)
         switches = self.faults.values
         running_count = self.engine.running_count
         faults_active = self.has_active_faults(route, running_count)
@@ -136,7 +136,7 @@
         generation_id, position = engines.continuation_start(
             body.get("continue_from")
         )
-        max_tokens = body.get("max_tokens", shapes.DEFAULT_MAX_TOKENS)
+        max_tokens = body.get("max_tokens", model_requests.DEFAULT_MAX_TOKENS)
         slow_factor = switches["slow_factor"] if faults_active else 1.0
         engine.waiting_count += 1
         async with engine.slot_semaphore:
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -1,19 +1,19 @@
-"""Stateful fuzzing of model requests over dying, silent, leaving runners."""
+"""Stateful fuzz test of model requests over runners that fail."""
 
 import asyncio
 import json
 import random
 
+import entry_fixtures
 import hypothesis.strategies as st
 import virtual
-import worlds
 from hypothesis import stateful
 
-from _arbutuswalk.entry import announcing
-from _arbutuswalk.entry import models
-from _arbutuswalk.entry import requests
-from _arbutuswalk.entry import suspicion
-from _arbutuswalk.entry import transfers
+from _arbutuswalk.entry import crash_quarantine
+from _arbutuswalk.entry import migration
+from _arbutuswalk.entry import model_requests
+from _arbutuswalk.entry import model_routes
+from _arbutuswalk.entry import upstream_announcements
 from _arbutuswalk.load import checks
 from _arbutuswalk.load import workload
 from _arbutuswalk.routing import upstreams
@@ -22,7 +22,7 @@
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import attempts
 
-TOKEN_S = 0.05
+TOKEN_INTERVAL_S = 0.05
 MAX_TOKENS = 12
 RUNNERS = 5
 MODES = ["good", "good", "good", "broke", "silent", "cross", "error", "down"]
@@ -30,7 +30,7 @@
 
 
 class Runner:
-    """A runner that announces itself and generates checkable tokens."""
+    """A runner that announces itself and generates verifiable tokens."""
 
     def __init__(self, identity, incarnation):
         self.identity = identity
@@ -42,7 +42,7 @@
 
     def said(self):
         self.sequence += 1
-        return worlds.said(
+        return entry_fixtures.said(
             self.identity,
             "model",
             incarnation=self.incarnation,
@@ -55,7 +55,7 @@
 
 
 class Fleet:
-    """The runners, and what their connections do."""
+    """The runners and the faults of connections to them."""
 
     def __init__(self, loop, rng):
         self.loop = loop
@@ -77,12 +77,13 @@
     def die(self, runner, reference=None):
         if runner.alive:
             runner.alive = False
-            # One that is leaving is lost already, whatever ends it.
+            # A leaving runner is lost in any case and counts against no
+            # request.
             if reference and not runner.leaving:
-                seen = self.killed_by.get(reference, 0)
-                self.killed_by[reference] = seen + 1
+                kills = self.killed_by.get(reference, 0)
+                self.killed_by[reference] = kills + 1
 
-    async def run(self, order, deadlines, feed):
+    async def run(self, order, deadlines, on_events):
         runner = self.at(order.address)
         mode = self.rng.choice(self.modes)
         await asyncio.sleep(0.002)
@@ -92,32 +93,32 @@
             return attempts.Crossed(got="another")
         if mode == "error":
             return attempts.Declined(status=500, detail="fault")
-        return await self._generate(runner, order, deadlines, feed, mode)
+        return await self._generate(runner, order, deadlines, on_events, mode)
 
-    async def _generate(self, runner, order, deadlines, feed, mode):
-        prompt = requests.prompt_of(order.body)
+    async def _generate(self, runner, order, deadlines, on_events, mode):
+        prompt = model_requests.prompt_of(order.body)
         reference = engine.parse_reference(prompt)
-        nonce, place = engine.continuation_start(
+        nonce, position = engine.continuation_start(
             order.body.get("continue_from")
         )
-        stop = self.rng.randint(place, MAX_TOKENS)
-        while place < order.body["max_tokens"]:
-            await asyncio.sleep(TOKEN_S)
-            if POISON in prompt and place >= 3:
+        fault_position = self.rng.randint(position, MAX_TOKENS)
+        while position < order.body["max_tokens"]:
+            await asyncio.sleep(TOKEN_INTERVAL_S)
+            if POISON in prompt and position >= 3:
                 self.die(runner, reference)
             if not runner.alive:
                 return attempts.Broke(reason="reset")
-            if place == stop and mode == "broke":
+            if position == fault_position and mode == "broke":
                 return attempts.Broke(reason="cut")
-            if place == stop and mode == "silent":
+            if position == fault_position and mode == "silent":
                 await asyncio.sleep(deadlines.gap_s)
                 return attempts.Silent(after_s=deadlines.gap_s)
-            word = engine.format_token(reference, nonce, place)
-            choice = {"index": 0, "text": word}
+            token = engine.format_token(reference, nonce, position)
+            choice = {"index": 0, "text": token}
             body = json.dumps({"choices": [choice]}).encode()
-            feed([b"data: " + body])
-            place += 1
-        feed([b"data: [DONE]"])
+            on_events([b"data: " + body])
+            position += 1
+        on_events([b"data: [DONE]"])
         return attempts.Completed(cached_tokens=0)
 
 
@@ -127,7 +128,11 @@
     def __init__(self):
         super().__init__()
         self.loop = virtual.VirtualLoop()
-        self.saved = (attempts.run, suspicion._probe, transfers.export_cache)
+        self.saved = (
+            attempts.run,
+            crash_quarantine._probe,
+            migration.copy_cache,
+        )
         self.sent = []
         self.poisoned = []
         self.number = 0
@@ -135,18 +140,18 @@
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
         self.rng = random.Random(seed)
-        self.control = worlds.Control(self.loop, self.rng)
+        self.control = entry_fixtures.Control(self.loop, self.rng)
         self.fleet = Fleet(self.loop, self.rng)
         self.entries = [
-            worlds.make_entry(self.loop, self.control, name)
+            entry_fixtures.make_entry(self.loop, self.control, name)
             for name in ("a", "b")
         ]
         attempts.run = self.fleet.run
-        suspicion._probe = self._probe
-        transfers.export_cache = self._no_export
+        crash_quarantine._probe = self._probe
+        migration.copy_cache = self._no_export
         for entry in self.entries:
             entry.start_request = lambda request, entry=entry: (
-                models.start_task(entry, request)
+                model_routes.start_task(entry, request)
             )
         self.background = self.loop.create_task(self._upkeep())
 
@@ -164,7 +169,7 @@
                 entry.view = json.loads(
                     json.dumps(view.parts_since(self.control.tables, -1))
                 )
-                suspicion.follow_isolations(entry)
+                crash_quarantine.apply_isolations(entry)
                 self._report_active(entry)
                 for runner in self.fleet.runners.values():
                     if runner.alive:
@@ -174,13 +179,15 @@
 
     def _report_active(self, entry):
         """What the entry's next request for a stamp tells the leader."""
-        self.control.seen[entry.name] = (
+        self.control.entry_reports[entry.name] = (
             self.control.index,
-            suspicion.occupied(entry),
+            crash_quarantine.occupied_upstreams(entry),
         )
 
     def _announce(self, entry, runner):
-        announcing.take(entry, runner.said(), age_s=0.0)
+        upstream_announcements.apply_announcement(
+            entry, runner.said(), age_s=0.0
+        )
 
     def _pass(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
@@ -194,7 +201,7 @@
             "stream": True,
         }
         raw = json.dumps(body).encode()
-        request = requests.ModelRequest(
+        request = model_requests.ModelRequest(
             request_id=f"{entry.name}~{self.number}",
             workspace="w",
             weight=1,
@@ -208,7 +215,7 @@
         )
 
         async def start():
-            models.start(entry, request)
+            model_routes.accept_request(entry, request)
 
         self.loop.run_until_complete(start())
         return request
@@ -282,13 +289,15 @@
         try:
             if hasattr(self, "fleet"):
                 self.fleet.modes = ["good"]
-                self._pass(3)  # whatever is leaving goes
+                self._pass(3)  # until all leaving runners are gone
                 for i in range(RUNNERS):
                     self.replace(i)
                 self._pass(100)
                 self._check()
         finally:
-            attempts.run, suspicion._probe, transfers.export_cache = self.saved
+            attempts.run, crash_quarantine._probe, migration.copy_cache = (
+                self.saved
+            )
             virtual.close(self.loop)
 
     def _check(self):
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -5,7 +5,7 @@
 import agreement_machine
 import fakes
 import pytest
-import twins
+import state_machine_runner
 
 from _arbutuswalk.agreement import election
 from _arbutuswalk.agreement import raftlog
@@ -15,7 +15,7 @@
 from _arbutuswalk.agreement import terms
 from _arbutuswalk.agreement import transfer
 from _arbutuswalk.agreement import types
-from _arbutuswalk.control import replicated
+from _arbutuswalk.control import durable_replica
 from _arbutuswalk.state import commands
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
@@ -233,7 +233,9 @@
     def test_acknowledgement_without_a_sync(self, monkeypatch):
         monkeypatch.setattr(fakes.FakeFolder, "sync", lambda self, name: None)
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_restart_that_forgets_the_leader_it_heard(self, monkeypatch):
         original_init = replicas.Replica.__init__
@@ -245,7 +247,9 @@
 
         monkeypatch.setattr(replicas.Replica, "__init__", init_without_wait)
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_lease_from_the_time_of_receipt(self, monkeypatch):
         original_handler = replication.on_append_reply
@@ -258,16 +262,20 @@
             step._HANDLERS, ttypes.AppendReply, lease_from_receipt
         )
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_disk_loss_that_keeps_the_member_id(self, monkeypatch):
         monkeypatch.setattr(
-            replicated.Replicated,
+            durable_replica.DurableReplica,
             "_member_id",
             lambda self: f"{self.identity.address}/same",
         )
         with pytest.raises(AssertionError):
-            twins.run(agreement_machine.AgreementMachine)
+            state_machine_runner.run_state_machine(
+                agreement_machine.AgreementMachine
+            )
 
     def test_unsent_acknowledgements_are_dropped_with_a_new_term(self):
         """An acknowledgement queued in an older term must not be sent."""
--- /dev/null
+++ b/testing/test_crash_quarantine.py
@@ -0,0 +1,160 @@
+"""Detection of upstream deaths at an entry, and reports to its peers."""
+
+import asyncio
+import json
+import random
+
+import entry_fixtures
+import pytest
+import virtual
+
+from _arbutuswalk.entry import crash_quarantine
+from _arbutuswalk.entry import model_requests
+from _arbutuswalk.entry import peer_updates
+from _arbutuswalk.entry import placement
+from _arbutuswalk.entry import upstream_announcements
+from _arbutuswalk.routing import upstreams
+from _arbutuswalk.wire.gen.arbutus import ttypes
+
+ENTRY_NAMES = ("a", "b")
+
+
+class TestProbe:
+    async def test_closing_listener_counts_as_refused(self):
+        """An exiting process still accepts connections for a moment."""
+
+        async def end(_, writer):
+            server.close()
+            writer.transport.abort()
+
+        server = await asyncio.start_server(end, "127.0.0.1", 0)
+        port = server.sockets[0].getsockname()[1]
+        probe = await crash_quarantine._probe(f"127.0.0.1:{port}")
+        assert probe == crash_quarantine._REFUSED
+
+    async def test_any_response_counts_as_answered(self):
+        async def answer(reader, writer):
+            await reader.readline()
+            writer.write(b"HTTP/1.1 404 Not Found\r\n\r\n")
+            await writer.drain()
+            writer.close()
+
+        server = await asyncio.start_server(answer, "127.0.0.1", 0)
+        port = server.sockets[0].getsockname()[1]
+        assert (
+            await crash_quarantine._probe(f"127.0.0.1:{port}")
+            == crash_quarantine._ANSWERED
+        )
+        server.close()
+
+    async def test_silent_listener_counts_as_no_answer(self, monkeypatch):
+        monkeypatch.setattr(crash_quarantine, "PROBE_TIMEOUT_S", 0.05)
+
+        async def hold(reader, _):
+            await reader.read()
+
+        server = await asyncio.start_server(hold, "127.0.0.1", 0)
+        port = server.sockets[0].getsockname()[1]
+        probe = await crash_quarantine._probe(f"127.0.0.1:{port}")
+        assert probe == crash_quarantine._NO_ANSWER
+        server.close()
+
+
+@pytest.fixture
+def loop():
+    virtual_loop = virtual.VirtualLoop()
+    yield virtual_loop
+    virtual.close(virtual_loop)
+
+
+@pytest.fixture
+def entries(loop):
+    control = entry_fixtures.Control(loop, random.Random(1))
+    return [
+        entry_fixtures.make_entry(loop, control, name) for name in ENTRY_NAMES
+    ]
+
+
+class TestPeerSuspects:
+    def receive_suspects(self, entry, fingerprints):
+        update = {"kind": peer_updates.SUSPECTS, "fingerprints": fingerprints}
+        message = ttypes.UpstreamNews(
+            announcements=[json.dumps(update).encode()]
+        )
+        upstream_announcements.on_peer_updates(entry, message)
+
+    def test_suspect_counts_before_the_report_is_committed(self, entries):
+        assert not entries[1].is_suspect("f")
+        self.receive_suspects(entries[1], ["f"])
+        assert entries[1].is_suspect("f")
+        assert not entries[1].is_suspect("g")
+
+    def test_peer_suspect_expires(self, loop, entries):
+        self.receive_suspects(entries[1], ["f"])
+        loop.run_until_complete(
+            asyncio.sleep(crash_quarantine.PEER_SUSPECT_TTL_S + 0.1)
+        )
+        assert not entries[1].is_suspect("f")
+        crash_quarantine.expire_peer_suspects(entries[1])
+        assert entries[1].peer_suspects == {}
+
+    def test_death_report_sends_all_running_fingerprints_to_peers(
+        self, loop, entries, monkeypatch
+    ):
+        sent_updates = []
+        monkeypatch.setattr(
+            peer_updates,
+            "tell_others",
+            lambda entry, update: sent_updates.append(update),
+        )
+        entry = entries[0]
+        announcement = entry_fixtures.said("u0", "model")
+        upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
+        row = entry.upstreams.rows["u0"]
+        row.broken.add("f")
+        loop.run_until_complete(crash_quarantine.report_death(entry, row))
+        assert sent_updates == [
+            {"kind": peer_updates.SUSPECTS, "fingerprints": ["f"]}
+        ]
+
+
+class TestReservations:
+    def make_request(self, entry):
+        body = {"model": "model", "prompt": "ref:i0", "max_tokens": 4}
+        return model_requests.ModelRequest(
+            request_id="a~1",
+            workspace="w",
+            weight=1,
+            key="",
+            route="completions",
+            raw=json.dumps(body).encode(),
+            body=body,
+            deadline=entry.now() + 10,
+            priority=5,
+            now=entry.now(),
+        )
+
+    def test_request_waits_while_the_last_upstream_is_reserved(
+        self, loop, entries
+    ):
+        """With two of four upstreams dead, both others may be reserved."""
+        entry = entries[0]
+        announcement = entry_fixtures.said("u0", "model")
+        upstreams.announce(entry.upstreams, announcement, heard_at=loop.time())
+        row = entry.upstreams.rows["u0"]
+        row.isolated = "suspect"
+        request = self.make_request(entry)
+        assert placement.early_refusal(entry, request) is None
+
+        async def wait():
+            ticket = placement.enqueue(entry, request)
+            row.isolated = ""
+            placement.place_queued(entry, "model")
+            return await placement.wait_for_placement(entry, request, ticket)
+
+        assert loop.run_until_complete(wait()) is row
+
+    def test_request_is_refused_where_no_upstream_is_up(self, entries):
+        request = self.make_request(entries[0])
+        refusal = placement.early_refusal(entries[0], request)
+        assert refusal.title == "no upstream"
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -1,53 +1,53 @@
-"""Model requests over failing runners, and framing."""
+"""Model requests over failing runners, event framing and answers."""
 
 import hypothesis
 import hypothesis.strategies as st
 import pytest
+import state_machine_runner
 import stream_machine
-import twins
 
-from _arbutuswalk.entry import running
-from _arbutuswalk.entry import suspicion
+from _arbutuswalk.entry import crash_quarantine
+from _arbutuswalk.entry import execution
 from _arbutuswalk.streams import answer
 from _arbutuswalk.streams import framing
 
 
 class TestStreamMachine(stream_machine.StreamMachine.TestCase):
-    """Runs the machine with the profile in force."""
+    """Runs the state machine with the loaded Hypothesis profile."""
 
 
-class TestPlantedFaults:
-    """Each fault below is one the oracle has to see."""
+class TestInjectedFaults:
+    """Faults that the state machine has to detect."""
 
-    def test_continuation_that_starts_over(self, monkeypatch):
-        real = running._order
+    def test_continuation_that_restarts_is_detected(self, monkeypatch):
+        original_order = execution._order
 
-        def forgetful(state, row):
-            order = real(state, row)
+        def order_without_continuation(state, row):
+            order = original_order(state, row)
             order.body.pop("continue_from", None)
             return order
 
-        monkeypatch.setattr(running, "_order", forgetful)
+        monkeypatch.setattr(execution, "_order", order_without_continuation)
         with pytest.raises(AssertionError):
-            twins.run(stream_machine.StreamMachine)
+            state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
-    def test_suspects_that_run_beside_each_other(self, monkeypatch):
+    def test_suspects_on_shared_upstreams_are_detected(self, monkeypatch):
         monkeypatch.setattr(
-            stream_machine.worlds.core.Entry,
+            stream_machine.entry_fixtures.entry_state.Entry,
             "is_suspect",
             lambda self, fingerprint: False,
         )
         with pytest.raises(AssertionError):
-            twins.run(stream_machine.StreamMachine)
+            state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
-    def test_reclaim_taken_for_a_crash(self, monkeypatch):
+    def test_reclaim_reported_as_a_crash_is_detected(self, monkeypatch):
         async def report_all(state, row, result):
-            blamed = await suspicion.report_death(state.entry, row)
+            blamed = await crash_quarantine.report_death(state.entry, row)
             return True, blamed
 
-        monkeypatch.setattr(running, "_look_for_death", report_all)
+        monkeypatch.setattr(execution, "_look_for_death", report_all)
         with pytest.raises(AssertionError):
-            twins.run(stream_machine.StreamMachine)
+            state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
 
 class TestFramer:
@@ -66,7 +66,7 @@
 
     def test_event_id_round_trip(self):
         prefix = framing.id_prefix("entry~abc")
-        framed = framing.number(prefix, 12, [b"data: x"])
+        framed = framing.number_events(prefix, 12, [b"data: x"])
         head = framed.split(b"\n")[0].removeprefix(b"id: ").decode()
         assert framing.parse_event_id(head) == ("entry~abc", 12)
 
@@ -79,20 +79,22 @@
         [b"", b"data: {", b"data: [1]", b'data: {"choices": [3]}', b"x"],
     )
     def test_events_without_text(self, event):
-        assert framing.text_of(event) == ""
+        assert framing.event_text(event) == ""
 
 
 class TestAnswer:
-    def test_a_failure_after_the_end_changes_nothing(self):
-        made = answer.Answer(request_id="r")
-        made.finish()
-        made.fail(answer.Problem(500, "late", "", "yes"))
-        assert made.problem is None
-
-    def test_readers_are_woken(self):
-        made = answer.Answer(request_id="r")
-        woken = []
-        made.readers.add(lambda: woken.append(len(made.events)))
-        made.add([b"data: a", b"data: b"])
-        made.finish()
-        assert woken == [2, 2]
+    def test_failure_after_the_end_is_ignored(self):
+        ended_answer = answer.Answer(request_id="r")
+        ended_answer.finish()
+        ended_answer.fail(answer.Problem(500, "late", "", "yes"))
+        assert ended_answer.problem is None
+
+    def test_readers_are_called(self):
+        growing_answer = answer.Answer(request_id="r")
+        event_counts = []
+        growing_answer.readers.add(
+            lambda: event_counts.append(len(growing_answer.events))
+        )
+        growing_answer.add([b"data: a", b"data: b"])
+        growing_answer.finish()
+        assert event_counts == [2, 2]
