--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -97,8 +97,10 @@
 
     async def _generate(self, runner, order, deadlines, on_events, mode):
         prompt = model_requests.prompt_of(order.body)
-        reference = engine.reference_of(prompt)
-        nonce, position = engine.start_of(order.body.get("continue_from"))
+        reference = engine.parse_reference(prompt)
+        nonce, position = engine.continuation_start(
+            order.body.get("continue_from")
+        )
         fault_position = self.rng.randint(position, MAX_TOKENS)
         while position < order.body["max_tokens"]:
             await asyncio.sleep(TOKEN_INTERVAL_S)
@@ -111,7 +113,7 @@
             if position == fault_position and mode == "silent":
                 await asyncio.sleep(deadlines.gap_s)
                 return attempts.Silent(after_s=deadlines.gap_s)
-            token = engine.token(reference, nonce, position)
+            token = engine.format_token(reference, nonce, position)
             choice = {"index": 0, "text": token}
             body = json.dumps({"choices": [choice]}).encode()
             on_events([b"data: " + body])
