--- a/bench/moves.py
+++ b/bench/moves.py
@@ -19,7 +19,7 @@
 SEED_COUNT = 40
 REQUESTS_PER_S = 40.0
 TICK_S = 0.25
-DEADLINE_S = 300
+ROLLOUT_DEADLINE_S = 300
 BAKE_S = 30
 BASE_ERROR_RATE = 0.004
 BASE_SLOW_RATE = 0.1
@@ -49,7 +49,7 @@
                     "domains": ["d1"],
                     "classes": ["c"],
                     "bake_s": BAKE_S,
-                    "rollout_deadline_s": DEADLINE_S,
+                    "rollout_deadline_s": ROLLOUT_DEADLINE_S,
                 }
             ]
         )
@@ -234,7 +234,7 @@
     print(
         f"{SEED_COUNT} seeds; two routes,"
         f" {REQUESTS_PER_S:.0f} requests/s (quiet: 3),"
-        f" deadline {DEADLINE_S} s, bake {BAKE_S} s"
+        f" deadline {ROLLOUT_DEADLINE_S} s, bake {BAKE_S} s"
     )
     print(
         f"{'case':24}{'policy':8}{'right':>7}{'seconds':>9}"
@@ -258,16 +258,12 @@
             correct_count = sum(
                 result[0] == expected_state for result in results
             )
-            bad_requests = harness.quantile(
-                [result[2] for result in results], 0.5
-            )
+            bad_requests = harness.quantile([run[2] for run in results], 0.5)
             bad_share = harness.quantile(
-                [result[2] / result[3] for result in results], 0.5
-            )
-            late_bad_requests = max(result[4] for result in results)
-            duration_s = harness.quantile(
-                [result[1] for result in results], 0.5
+                [run[2] / run[3] for run in results], 0.5
             )
+            late_bad_requests = max(run[4] for run in results)
+            duration_s = harness.quantile([run[1] for run in results], 0.5)
             print(
                 f"{case:24}{policy_name:8}{correct_count:4}/{SEED_COUNT:<3}"
                 f"{duration_s:8.0f}{bad_requests:8.0f}"
--- a/src/_arbutuswalk/base/metrics.py
+++ b/src/_arbutuswalk/base/metrics.py
@@ -29,20 +29,20 @@
 
     def record(self, name: str, labels: str, seconds: float) -> None:
         """Records one duration in a histogram."""
-        recorded = self.histograms.get((name, labels))
-        if recorded is None:
-            recorded = histogram.HdrHistogram(
+        durations = self.histograms.get((name, labels))
+        if durations is None:
+            durations = histogram.HdrHistogram(
                 MIN_DURATION_US, MAX_DURATION_US, SIGNIFICANT_DIGITS
             )
-            self.histograms[name, labels] = recorded
-        recorded.record_value(max(MIN_DURATION_US, int(seconds * US_PER_S)))
+            self.histograms[name, labels] = durations
+        durations.record_value(max(MIN_DURATION_US, int(seconds * US_PER_S)))
 
     def quantile(self, name: str, labels: str, percent: float) -> float:
         """Returns a percentile in seconds, zero if nothing was recorded."""
-        recorded = self.histograms.get((name, labels))
-        if recorded is None:
+        durations = self.histograms.get((name, labels))
+        if durations is None:
             return 0.0
-        return recorded.get_value_at_percentile(percent) / US_PER_S
+        return durations.get_value_at_percentile(percent) / US_PER_S
 
     def render(self) -> str:
         """Returns all metrics in the text exposition format."""
@@ -55,15 +55,15 @@
         return "\n".join(lines) + "\n"
 
     def _render_histogram(self, name: str, labels: str) -> list[str]:
-        recorded = self.histograms[name, labels]
+        durations = self.histograms[name, labels]
         lines = []
         for percent in PERCENTILES:
-            value = recorded.get_value_at_percentile(percent) / US_PER_S
+            value = durations.get_value_at_percentile(percent) / US_PER_S
             all_labels = f'{labels},quantile="{percent / 100}"'.lstrip(",")
             lines.append(
                 f"arbutuswalk_{name}_seconds{{{all_labels}}} {value:.6f}"
             )
-        count = recorded.get_total_count()
+        count = durations.get_total_count()
         lines.append(
             f"arbutuswalk_{name}_seconds_count{_label_block(labels)} {count}"
         )
--- a/src/_arbutuswalk/load/callers.py
+++ b/src/_arbutuswalk/load/callers.py
@@ -16,7 +16,7 @@
 CONNECT_TIMEOUT_S = 1.0
 READ_TIMEOUT_S = 12.0
 RETRY_PAUSE_S = 0.1
-MAX_SENDS = 40
+MAX_SENDS_PER_ITEM = 40
 
 
 @dataclasses.dataclass(kw_only=True)
@@ -113,7 +113,7 @@
         started = time.monotonic()
         progress = StreamProgress()
         deadline = started + item.deadline_ms / 1000
-        for _ in range(MAX_SENDS):
+        for _ in range(MAX_SENDS_PER_ITEM):
             if time.monotonic() >= deadline + READ_TIMEOUT_S:
                 break
             address = await self.directory.choose_address(self.session)
--- a/src/_arbutuswalk/load/main.py
+++ b/src/_arbutuswalk/load/main.py
@@ -82,7 +82,9 @@
     """Returns outcome counts and latency quantiles of a run."""
     outcomes = collections.Counter(result.outcome for result in results)
     first_token_times_s = [
-        result.first_token_s for result in results if result.first_token_s
+        item_result.first_token_s
+        for item_result in results
+        if item_result.first_token_s
     ]
     token_gaps_s = [
         gap_s for result in results for gap_s in result.token_gaps_s
@@ -98,9 +100,9 @@
         "between_tokens_p95_s": quantile(token_gaps_s, 0.95),
         "problems": sorted(
             {
-                f"{result.item.ref}: {result.detail}"
-                for result in results
-                if result.detail
+                f"{item_result.item.ref}: {item_result.detail}"
+                for item_result in results
+                if item_result.detail
             }
         )[:50],
     }
