--- a/bench/control.py
+++ b/bench/control.py
@@ -34,7 +34,7 @@
 
 
 async def measure_commits(seconds=3.0):
-    """Synced commits per second and latencies, by number of writers."""
+    """Synced commits per second, p50 and p99 latency, by number of writers."""
     process_group = harness.ProcessGroup()
     results = []
     try:
@@ -196,16 +196,7 @@
     return json.dumps(
         {
             "upstreams": {
-                f"model@i{i}": [
-                    "model",
-                    "v1",
-                    f"i{i}",
-                    "d1",
-                    "c",
-                    8,
-                    3,
-                    True,
-                ]
+                f"model@i{i}": ["model", "v1", f"i{i}", "d1", "c", 8, 3, True]
                 for i in range(upstream_count)
             },
             "evidence": {"model|v1|chat": [1000, 3, 9, 980]},
--- a/src/_arbutuswalk/standin/main.py
+++ b/src/_arbutuswalk/standin/main.py
@@ -46,7 +46,7 @@
             print(problem, file=sys.stderr)
         sys.exit(settings.EXIT_BAD_SETTINGS)
     if arguments.check:
-        print(f"{arguments.settings}: good")
+        print(f"{arguments.settings}: settings are valid")
         sys.exit(process.EXIT_OK)
     process.start_logging("warning")
     asyncio.run(run(arguments.kind, values))
--- a/src/_arbutuswalk/standin/server.py
+++ b/src/_arbutuswalk/standin/server.py
@@ -17,7 +17,7 @@
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Overrides the signal handlers of uvicorn with none."""
+        """Overrides uvicorn's method: installs no signal handlers."""
         yield
 
     async def start_listening(self) -> None:
--- a/src/_arbutuswalk/storage/errors.py
+++ b/src/_arbutuswalk/storage/errors.py
@@ -5,7 +5,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class DiskFull:
-    """The disk is full; no record of the batch was written."""
+    """The disk is full; no record of the batch was kept."""
 
     path: str
 
--- a/src/_arbutuswalk/storage/folder.py
+++ b/src/_arbutuswalk/storage/folder.py
@@ -1,4 +1,7 @@
-"""File operations on the data folder of a member."""
+"""File operations on the data folder of a member.
+
+The log and its snapshots access files only through this module.
+"""
 
 import errno
 import fcntl
--- a/testing/test_agreement.py
+++ b/testing/test_agreement.py
@@ -133,7 +133,7 @@
         assert cluster.repair()
 
     def test_two_further_disk_losses_at_once_are_survived(self, cluster):
-        """Sequence of trouble-2 of the users' enlarged telemetry site.
+        """Replays scenario trouble-2 of the users' enlarged telemetry site.
 
         After a member that lost its disk has rejoined, two more members lose
         theirs while the others restart.
--- a/testing/test_wal.py
+++ b/testing/test_wal.py
@@ -94,7 +94,7 @@
         assert recovered.snapshot.state == b"ten"
         assert recovered.entries == entries(11, 20)
 
-    def test_only_snapshot_unreadable_is_corrupt(self, data_folder):
+    def test_unreadable_only_snapshot_is_corrupt(self, data_folder):
         log = open_log(data_folder)
         log.write(None, entries(1, 10))
         log.save_snapshot(wal.Snapshot(10, 1, b"ten"))
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -167,7 +167,7 @@
         except (aiohttp.ClientError, OSError, ValueError):
             pass
         await asyncio.sleep(0.1)
-    raise SystemExit(f"demo: {description} did not happen within {timeout_s} s")
+    raise SystemExit(f"demo: no {description} within {timeout_s} s")
 
 
 async def all_entries_listed(session):
