--- a/src/_arbutuswalk/limits/quota.py
+++ b/src/_arbutuswalk/limits/quota.py
@@ -51,8 +51,8 @@
     """Returns the rate and burst to enforce.
 
     Wrongly refusing a request costs its caller more than a small overshoot
-    costs the system, so a part of the permitted overshoot is used. Half of the
-    tolerance is added to the rate and half to the burst.
+    costs the system, so a part of the permitted overshoot is used. The used
+    part of the tolerance is divided equally between rate and burst.
     """
     factor = 1 + USED_OVERSHOOT_FRACTION * quota_tolerance.overshoot
     extra_tokens = USED_OVERSHOOT_FRACTION * quota_tolerance.tolerance / 2
--- a/src/_arbutuswalk/state/evidence.py
+++ b/src/_arbutuswalk/state/evidence.py
@@ -11,18 +11,18 @@
 
 
 class OutcomeCounts(NamedTuple):
-    """Counts of outcomes of one version, summed since each entry's start.
+    """Outcomes of one version at all entries, each counted since its start.
 
     Attributes:
         ran: Finished requests.
         failed: Failures among them.
-        measured: Requests whose latency was measured.
-        slow: Slow ones among those.
+        timed: Successful ones whose latency could be compared.
+        slow: Slow ones among the timed ones.
     """
 
     ran: int = 0
     failed: int = 0
-    measured: int = 0
+    timed: int = 0
     slow: int = 0
 
 
@@ -70,9 +70,9 @@
         )
         evidence.slowness.update(
             compare.Block(
-                old_increase.measured,
+                old_increase.timed,
                 old_increase.slow,
-                new_increase.measured,
+                new_increase.timed,
                 new_increase.slow,
             )
         )
--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -15,7 +15,7 @@
 UPSTREAM_KINDS = ("model", "service")
 MODEL_ROUTES = ("chat", "completions")
 NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
-MAX_ROUTES = 64
+MAX_ROUTES_PER_UPSTREAM = 64
 
 
 class Route(TypedDict):
@@ -264,8 +264,10 @@
     problems = []
     if upstream["kind"] == "service" and not upstream["routes"]:
         problems.append(f"{location}: routes: a service needs at least one")
-    if len(upstream["routes"]) > MAX_ROUTES:
-        problems.append(f"{location}: routes: at most {MAX_ROUTES}")
+    if len(upstream["routes"]) > MAX_ROUTES_PER_UPSTREAM:
+        problems.append(
+            f"{location}: routes: at most {MAX_ROUTES_PER_UPSTREAM}"
+        )
     if upstream["most"] and upstream["floor"] > upstream["most"]:
         problems.append(f"{location}: floor: above most, {upstream['most']}")
     min_duration_s = min_move_duration_s(upstream)
--- a/src/_arbutuswalk/state/move_policy.py
+++ b/src/_arbutuswalk/state/move_policy.py
@@ -21,7 +21,8 @@
 NON_REPEATABLE_STEPS_PER_MILLE = (10, 20, 50, 100, 200, 350, 500, 1000)
 """Successive shares of non-repeatable routes."""
 MIN_REPEATABLE_SHARE_PER_MILLE = 500
-"""Share of all repeatable routes above which non-repeatable ones start."""
+"""Share that every repeatable route must have before non-repeatable ones
+start."""
 OBSERVATION_MS = 2000
 """Time for which a route is observed before its first share is chosen."""
 SMALL_STEP_COUNT = 3
@@ -33,7 +34,7 @@
 LOG_EVIDENCE_THRESHOLD = math.log(1000)
 """Log evidence at which a version is taken back. Each test takes back at most
 one good version in a thousand."""
-NON_REPEATABLE_FACTOR = 2
+NON_REPEATABLE_OUTCOMES_FACTOR = 2
 
 
 class RouteTrial:
@@ -92,10 +93,10 @@
     sums: dict[str, evidence.OutcomeCounts] = {}
     for report in reports.values():
         for key, counts in report.get("evidence", {}).items():
-            ran, errors, slow, measured = counts
+            ran, errors, slow, timed = counts
             previous = sums.get(key, evidence.OutcomeCounts())
             sums[key] = evidence.add_counts(
-                previous, (ran, errors, measured, slow)
+                previous, (ran, errors, timed, slow)
             )
     return sums
 
@@ -306,11 +307,12 @@
 def _has_sufficient_evidence(trial: RouteTrial, timing: StepTiming) -> bool:
     """Returns whether the evidence permits the next step of a route.
 
-    A route may step as soon as it has ``SUFFICIENT_OUTCOMES``, or at the end
-    of the time per step if it has at least ``MIN_OUTCOMES``. A route without
-    traffic steps by time alone, as it affects no caller.
+    A route may step as soon as it has ``SUFFICIENT_OUTCOMES``, twice as many
+    if it is non-repeatable, or at the end of the time per step if it has at
+    least ``MIN_OUTCOMES``. A route without traffic steps by time alone, as it
+    affects no caller.
     """
-    factor = 1 if timing.repeatable else NON_REPEATABLE_FACTOR
+    factor = 1 if timing.repeatable else NON_REPEATABLE_OUTCOMES_FACTOR
     if trial.succeeded_in_step >= SUFFICIENT_OUTCOMES * factor:
         return True
     if timing.elapsed_ms < timing.allowed_ms:
--- a/src/_arbutuswalk/state/routeconfig.py
+++ b/src/_arbutuswalk/state/routeconfig.py
@@ -31,12 +31,12 @@
         name: Unique name.
         host: Value of the Host header in lower case.
         prefix: Path prefix, with a slash at both ends.
-        kind: One of ``KINDS``.
+        kind: One of ``ROUTE_KINDS``.
         timeout_s: Maximum time until the response.
         objective_s: Latency objective of a response.
         priority: Priority; 0 is the highest.
         targets: Upstreams and their weights.
-        max_attempts: Maximum endpoints that one request is sent to.
+        max_attempts: Maximum endpoints on which one request may run.
         anonymous: Whether callers may omit the API key.
         affinity: Whether requests carry descriptions of their prompts.
         resumable: Whether a stream may be resumed on another endpoint.
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -92,12 +92,12 @@
         failed = self.rng.random() < (new_error if is_new else old_error)
         slow = self.rng.random() < (new_slow if is_new else old_slow)
         key = f"{move.upstream}|{version}|{route}"
-        ran, errors, slow_count, measured = self.counts.get(key, (0, 0, 0, 0))
+        ran, errors, slow_count, timed = self.counts.get(key, (0, 0, 0, 0))
         self.counts[key] = (
             ran + 1,
             errors + failed,
             slow_count + (slow and not failed),
-            measured + (not failed),
+            timed + (not failed),
         )
         self.new_requests += is_new
         self.new_failures += is_new and failed
--- a/testing/test_quota.py
+++ b/testing/test_quota.py
@@ -206,9 +206,9 @@
         )
         rate, burst = quota.effective_quota(RATE, BURST, quota_tolerance)
         permitted = (RATE * 8 + BURST) * 1.1 + 1600
-        given = rate * 8 + burst
+        enforced = rate * 8 + burst
         base = RATE * 8 + BURST
-        assert given - base == pytest.approx(
+        assert enforced - base == pytest.approx(
             (permitted - base) * quota.USED_OVERSHOOT_FRACTION
         )
-        assert given < permitted
+        assert enforced < permitted
