--- a/src/_arbutuswalk/relay/admission.py
+++ b/src/_arbutuswalk/relay/admission.py
@@ -19,7 +19,7 @@
 STARTUP_RETRY_AFTER_S = 0.3
 """Retry-After of an entry that has no configuration yet."""
 MAX_RETRY_AFTER_S = 5.0
-RETRY_AFTER_JITTER = 0.5
+RETRY_AFTER_JITTER_FRACTION = 0.5
 """Random increase of Retry-After, as a share of the wait."""
 DEFAULT_DEADLINE_S = 60.0
 """Deadline of a caller that sets none; the route's time-out is shorter."""
@@ -146,7 +146,7 @@
     if not wait_s:
         return None
     # Random, so that requests refused together are not all sent again at once.
-    wait_s *= 1 + RETRY_AFTER_JITTER * relay.rng.random()
+    wait_s *= 1 + RETRY_AFTER_JITTER_FRACTION * relay.rng.random()
     return Refusal(
         STATUS_TOO_MANY_REQUESTS,
         f"quota of workspace {workspace.name} is used up:"
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -19,9 +19,9 @@
 """Time without data after which a stream is resumed at another endpoint: half
 of the shortest time after which callers abandon a stream."""
 MAX_WHOLE_BYTES = 8 * 1024 * 1024
-"""Largest answer that is buffered completely: a tenth of the memory available
-to a process on the smallest instances, beside its own 30 MB."""
-MAX_PRIORITY_RANK = 9
+"""Largest answer that is buffered completely: a tenth of the memory that a
+process may use on the smallest instances in addition to its own 30 MB."""
+LOWEST_PRIORITY = 9
 
 
 class Attempt:
@@ -75,9 +75,9 @@
         self.unread_tokens = 0
 
     async def _send(self) -> results.Result:
-        careful = not self.request.route.repeatable
+        non_repeatable = not self.request.route.repeatable
         connection = await self.relay.pool.acquire(
-            self.endpoint.address, non_idempotent=careful
+            self.endpoint.address, non_idempotent=non_repeatable
         )
         if isinstance(connection, pool.NotOpened):
             placement.mark_suspect(
@@ -95,7 +95,7 @@
             endpoint=self.endpoint.id,
             left_s=left_s,
             last_event=self.delivery.last_event,
-            priority=min(MAX_PRIORITY_RANK, self.request.priority),
+            priority=min(LOWEST_PRIORITY, self.request.priority),
         )
         data = self.relay.dialect.encode(self.request, options)
         self.delivery.on_caller_left = self.exchange.changed.set
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -30,7 +30,7 @@
 ENDPOINT_EXPIRY_S = 20.0
 """Time without an announcement after which an endpoint is removed, the same as
 at control."""
-UNLISTED_PROCESS_TIMEOUT_S = 30.0
+NON_SEED_TIMEOUT_S = 30.0
 """Time without an answer after which a control process that is not a seed is no
 longer watched."""
 
@@ -97,7 +97,7 @@
         for address in self.seeds:
             self._watch_address(address)
         for address, feed in list(self.feeds.items()):
-            timed_out = now - feed.last_answer_at > UNLISTED_PROCESS_TIMEOUT_S
+            timed_out = now - feed.last_answer_at > NON_SEED_TIMEOUT_S
             if timed_out and address not in self.seeds:
                 del self.feeds[address]
                 feed.task.cancel()
@@ -117,9 +117,10 @@
             )
 
     def _expire_endpoints(self, now: float) -> None:
-        """Removes endpoints without announcements, unless control is lost.
+        """Removes silent endpoints if control could have announced them.
 
-        Without control, the entry continues with the known endpoints.
+        Without control, and until ``ENDPOINT_EXPIRY_S`` after it is back, the
+        entry continues with the known endpoints.
         """
         if not any(feed.connected for feed in self.feeds.values()):
             self.connected_since = None
@@ -160,9 +161,9 @@
             if isinstance(reply, link.TimedOut):
                 # The connection may be dead while a new one would work.
                 feed.link.close("timed out")
-            known = self.relay.route_table is not None
+            has_config = self.relay.route_table is not None
             await asyncio.sleep(
-                RETRY_PAUSE_S if known else STARTUP_RETRY_PAUSE_S
+                RETRY_PAUSE_S if has_config else STARTUP_RETRY_PAUSE_S
             )
 
     def _make_watch_message(self, feed: ControlFeed) -> ttypes.Watch:
--- a/src/_arbutuswalk/relay/lateness.py
+++ b/src/_arbutuswalk/relay/lateness.py
@@ -7,7 +7,7 @@
 
 from _arbutuswalk.relay import request as requests
 
-LONGEST_DEADLINE_DECAY = 0.999
+LONGEST_DEADLINE_DECAY_FACTOR = 0.999
 """Factor applied to the longest deadline at each request, so that a single
 caller with a long deadline does not make all others late permanently."""
 
@@ -22,14 +22,15 @@
     def __init__(self):
         self.longest_deadline_s: dict[str, float] = {}
 
-    def record(self, route: str, waits_s: float | None) -> None:
+    def record(self, route: str, deadline_s: float | None) -> None:
         """Records how long a caller waits, None if not specified."""
-        if waits_s is None:
+        if deadline_s is None:
             return
         decayed_s = (
-            self.longest_deadline_s.get(route, 0.0) * LONGEST_DEADLINE_DECAY
+            self.longest_deadline_s.get(route, 0.0)
+            * LONGEST_DEADLINE_DECAY_FACTOR
         )
-        self.longest_deadline_s[route] = max(decayed_s, waits_s)
+        self.longest_deadline_s[route] = max(decayed_s, deadline_s)
 
     def is_late(self, request: requests.Request, now: float) -> bool:
         """Returns whether the route's latency objective is already missed."""
--- a/src/_arbutuswalk/relay/placement.py
+++ b/src/_arbutuswalk/relay/placement.py
@@ -12,10 +12,10 @@
 SUSPECT_DURATION_S = 1.5
 """Time for which an endpoint is used last after a failure: longer than it takes
 a heartbeat to show that it is alive, or a missing one that it is gone."""
-MAX_HEARTBEAT_INTERVALS = 3.3
+DOUBTFUL_AFTER_HEARTBEATS = 3.3
 """Heartbeat intervals without a heartbeat after which an endpoint is used last:
 one heartbeat may be lost and the next one late."""
-PER_MILLE = 1000
+FULL_SHARE_PER_MILLE = 1000
 
 
 class Placement(NamedTuple):
@@ -80,7 +80,7 @@
         relay.other_loads.get(endpoint_id, (0, 0)),
     )
     running, waiting_tokens = own_load or (0, 0)
-    silent_s = MAX_HEARTBEAT_INTERVALS * relay.options.heartbeat_s
+    silent_s = DOUBTFUL_AFTER_HEARTBEATS * relay.options.heartbeat_s
     doubtful = now - row.announced_at > silent_s or endpoint_id in outliers
     return selection.Candidate(
         id=endpoint_id,
@@ -130,7 +130,7 @@
         return old
     if state == "completed":
         return new or old
-    share_position = zlib.crc32(request.id.encode()) % PER_MILLE
+    share_position = zlib.crc32(request.id.encode()) % FULL_SHARE_PER_MILLE
     if share_position < share:
         return new or old
-    return old if old or share < PER_MILLE else new
+    return old if old or share < FULL_SHARE_PER_MILLE else new
--- a/src/_arbutuswalk/relay/relay_state.py
+++ b/src/_arbutuswalk/relay/relay_state.py
@@ -28,8 +28,8 @@
 MAX_STARTUP_WAIT_S = 1.0
 """Longest such wait of a single request."""
 FIRST_BYTE_WEIGHT = 0.05
-"""Weight of a new sample in the moving average of the time to the first byte,
-which so covers about twenty requests."""
+"""Weight of a new sample in the moving average of the time to the first byte:
+about twenty requests count."""
 SLOW_FIRST_BYTE_FACTOR = 3.0
 """Multiple of the average time to the first byte above which an answer is slow:
 faulty versions are several times slower."""
@@ -99,7 +99,7 @@
         other_loads: Load from other entries by endpoint.
         outlier_detector: Failure rates of endpoints that report good health.
         crashes: Requests that were running when endpoints died.
-        refused_fingerprints: Requests to refuse, by order of control.
+        refused_fingerprints: Requests that control has told entries to refuse.
         lateness: Longest deadlines of the callers of each route.
         recent_parts: Endpoints that recently received shared prompt parts.
         suspect_until: Time until which an endpoint is used last, by id.
--- a/src/_arbutuswalk/relay/request.py
+++ b/src/_arbutuswalk/relay/request.py
@@ -44,7 +44,8 @@
         upstream: Upstream drawn by the weights of the route.
         workspace: Workspace of the caller, None on an anonymous route.
         came_at: When it was read, in seconds.
-        deadline: When the time of the caller or of the route is up.
+        deadline: Earlier of the caller's deadline and the route's time-out, in
+            seconds.
         waits_s: Time the caller waits after ``came_at``.
         prompt: Prompt of a model request, None for other requests.
         last_event: Id of the last event that the caller has, or empty.
--- a/src/_arbutuswalk/relay/results.py
+++ b/src/_arbutuswalk/relay/results.py
@@ -16,7 +16,7 @@
 """Lowest status that indicates a failure of the upstream itself."""
 
 MAX_SENDS = 4
-"""Attempts per request, including those that did not run it."""
+"""Maximum attempts per request, including those that did not run it."""
 MIN_TIME_LEFT_S = 0.03
 """Remaining time below which no endpoint can answer: a round trip between
 failure domains and the shortest processing time."""
--- a/src/_arbutuswalk/routing/choose.py
+++ b/src/_arbutuswalk/routing/choose.py
@@ -24,8 +24,8 @@
         prefill_tokens_per_s: Prefill throughput of an engine.
         service_s: Seconds for which a request holds a slot.
         full_batch_delay_s: Seconds that a full batch adds to a request.
-        price_penalty_s: Seconds of latency considered equal to a price one
-            time the cheapest higher.
+        price_penalty_s: Seconds of latency considered equal to a price that
+            is higher by the lowest price.
     """
 
     prefill_tokens_per_s: float = 6000.0
@@ -107,7 +107,11 @@
 def _batch_delay_s(
     row: upstreams.Row, mean_load: float, weights: Weights
 ) -> float:
-    """Returns the delay by the batch in seconds, constant up to the bound."""
+    """Returns the delay by the batch in seconds.
+
+    Up to the load bound it depends on the mean load instead of the upstream's
+    own load, so that cache affinity decides.
+    """
     slots = max(1, row.announcement["slots"])
     excess_load = row.load + 1 - LOAD_BOUND_FACTOR * (mean_load + 1)
     if excess_load <= 0:
--- a/src/_arbutuswalk/routing/crashes.py
+++ b/src/_arbutuswalk/routing/crashes.py
@@ -99,15 +99,15 @@
 
 def fingerprints_to_refuse(reports: list[dict[str, list[str]]]) -> list[str]:
     """Returns the fingerprints to refuse, given all entries' deaths."""
-    starts: dict[str, set[str]] = {}
+    starts_by_fingerprint: dict[str, set[str]] = {}
     for report in reports:
         for request_fingerprint, endpoint_starts in report.items():
-            starts.setdefault(request_fingerprint, set()).update(
+            starts_by_fingerprint.setdefault(request_fingerprint, set()).update(
                 endpoint_starts
             )
     return sorted(
-        request_fingerprint
-        for request_fingerprint, endpoint_starts in starts.items()
+        candidate
+        for candidate, endpoint_starts in starts_by_fingerprint.items()
         if len(endpoint_starts) >= DEATHS_TO_REFUSE
     )
 
--- a/src/_arbutuswalk/routing/outliers.py
+++ b/src/_arbutuswalk/routing/outliers.py
@@ -10,8 +10,7 @@
 from typing import NamedTuple
 
 OUTCOME_WEIGHT = 0.12
-"""Weight of a new outcome in the moving average, which so covers about eight
-requests."""
+"""Weight of a new outcome in the moving average: about eight requests count."""
 DECAY_TIME_S = 4.0
 """Time in which a failure rate decays to about a third. An endpoint without
 requests is tried again after about twice that time."""
--- a/src/_arbutuswalk/routing/prefixes.py
+++ b/src/_arbutuswalk/routing/prefixes.py
@@ -7,7 +7,7 @@
 BLOCK_CHARS = 256
 CHARS_PER_TOKEN = 4
 BLOCK_TOKENS = BLOCK_CHARS // CHARS_PER_TOKEN
-MAX_BLOCKS = 512
+MAX_BLOCKS_PER_PROMPT = 512
 TRUST_FACTOR_PER_GAP = 0.5
 TRUST_INCREASE_PER_EVENT = 0.05
 
@@ -20,7 +20,7 @@
     """
     chained_hash = hashlib.blake2b(digest_size=8)
     hashes = []
-    block_count = min(len(text) // BLOCK_CHARS, MAX_BLOCKS)
+    block_count = min(len(text) // BLOCK_CHARS, MAX_BLOCKS_PER_PROMPT)
     for i in range(block_count):
         block = text[i * BLOCK_CHARS : (i + 1) * BLOCK_CHARS]
         chained_hash.update(block.encode())
--- a/src/_arbutuswalk/routing/versions.py
+++ b/src/_arbutuswalk/routing/versions.py
@@ -3,7 +3,7 @@
 import hashlib
 from typing import Any
 
-SHARE_SCALE = 1000
+FULL_SHARE_PER_MILLE = 1000
 
 
 def pick_version(
@@ -32,6 +32,6 @@
 
 
 def share_position(request_id: str) -> int:
-    """Returns a hash of the request id, reduced to below ``SHARE_SCALE``."""
+    """Returns a hash of the request id below ``FULL_SHARE_PER_MILLE``."""
     digest = hashlib.blake2b(request_id.encode(), digest_size=8).digest()
-    return int.from_bytes(digest, "big") % SHARE_SCALE
+    return int.from_bytes(digest, "big") % FULL_SHARE_PER_MILLE
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -78,7 +78,7 @@
 class TestRelay:
     async def test_a_refused_request_reaches_no_endpoint(self):
         relay = relay_fixtures.make_relay()
-        arrival = admission.IncomingRequest(
+        incoming = admission.IncomingRequest(
             id="attempt-1",
             method="POST",
             host="h.example",
@@ -92,12 +92,12 @@
             last_event="",
             came_at=relay.now(),
         )
-        admitted = admission.admit(relay, arrival)
+        admitted = admission.admit(relay, incoming)
         relay.refused_fingerprints = frozenset([admitted.fingerprint])
-        refusal = admission.admit(relay, arrival)
+        refusal = admission.admit(relay, incoming)
         assert refusal.status == 503
         assert refusal.retry_after_s > 0
-        other = admission.admit(relay, arrival._replace(body=b"innocent"))
+        other = admission.admit(relay, incoming._replace(body=b"innocent"))
         assert not isinstance(other, admission.Refusal)
 
     async def test_a_lost_connection_makes_a_suspect(self):
--- a/testing/test_decisions.py
+++ b/testing/test_decisions.py
@@ -1,4 +1,4 @@
-"""Endpoint choice, health, scaling, rollouts and retries, without I/O."""
+"""Endpoint choice, outliers, scaling, rollouts and retries, without I/O."""
 
 import random
 
@@ -37,36 +37,40 @@
 
 class TestEndpointChoice:
     def test_requests_that_share_prompt_parts_go_to_one_endpoint(self):
-        work = selection.PromptProfile(5000, (("wide", 2000), ("narrow", 2500)))
+        profile = selection.PromptProfile(
+            5000, (("wide", 2000), ("narrow", 2500))
+        )
         chosen = {
             selection.choose(
-                make_candidates(9), work, (), (draw, 1 - draw - 0.01)
+                make_candidates(9), profile, (), (draw, 1 - draw - 0.01)
             ).id
             for draw in (0.0, 0.3, 0.6, 0.9)
         }
         assert len(chosen) == 1
 
     def test_an_overloaded_endpoint_is_avoided(self):
-        work = selection.PromptProfile(5000, (("wide", 2000), ("narrow", 2500)))
+        profile = selection.PromptProfile(
+            5000, (("wide", 2000), ("narrow", 2500))
+        )
         candidates = make_candidates(9)
-        first = selection.choose(candidates, work, (), (0.1, 0.9))
+        first = selection.choose(candidates, profile, (), (0.1, 0.9))
         assert first.tokens == 500
-        crowded = [
+        overloaded = [
             each._replace(waiting_tokens=20_000 * (each.id == first.id))
             for each in candidates
         ]
-        second = selection.choose(crowded, work, (), (0.1, 0.9))
+        second = selection.choose(overloaded, profile, (), (0.1, 0.9))
         assert second.id != first.id
         assert second.tokens == 3000
 
     def test_an_endpoint_that_recently_got_a_prompt_part_computes_only_the_rest(
         self,
     ):
-        work = selection.PromptProfile(5000, (("narrow", 4500),))
+        profile = selection.PromptProfile(5000, (("narrow", 4500),))
         candidates = make_candidates(3)
-        first = selection.choose(candidates, work, (), (0.1, 0.9))
+        first = selection.choose(candidates, profile, (), (0.1, 0.9))
         others = [each for each in candidates if each.id != first.id]
-        held = selection.choose(others, work, {others[1].id}, (0.1, 0.9))
+        held = selection.choose(others, profile, {others[1].id}, (0.1, 0.9))
         assert held.tokens == 500
 
     def test_doubtful_endpoints_come_last(self):
@@ -89,7 +93,7 @@
     def test_a_popular_prompt_part_is_spread_over_more_endpoints(self):
         """A prompt part of all requests must not overload one endpoint."""
         rng = random.Random(7)
-        work = selection.PromptProfile(4000, (("hot", 3000),))
+        profile = selection.PromptProfile(4000, (("hot", 3000),))
         loads = {f"e{i}": 0 for i in range(9)}
         for _ in range(200):
             candidates = [
@@ -97,42 +101,42 @@
                 for each in make_candidates(9)
             ]
             draws = (rng.random(), rng.random())
-            chosen = selection.choose(candidates, work, (), draws)
+            chosen = selection.choose(candidates, profile, (), draws)
             loads[chosen.id] += chosen.tokens
         mean = sum(loads.values()) / len(loads)
         assert max(loads.values()) < 2.5 * mean
 
-    def test_old_placements_expire(self):
-        recent_placements = recent_parts.RecentParts()
-        recent_placements.record("p", "e1", 0.0)
-        assert recent_placements.endpoints_holding(
+    def test_old_prompt_parts_expire(self):
+        sent_parts = recent_parts.RecentParts()
+        sent_parts.record("p", "e1", 0.0)
+        assert sent_parts.endpoints_holding(
             "p", recent_parts.PART_RETENTION_S
         ) == {"e1"}
         assert (
-            recent_placements.endpoints_holding(
+            sent_parts.endpoints_holding(
                 "p", recent_parts.PART_RETENTION_S + 0.1
             )
             == set()
         )
 
 
-class TestHealth:
+class TestOutlierDetector:
     def simulate(self, rates, seed, requests=400):
-        """Avoids doubtful endpoints; returns the failure rate."""
+        """Avoids outliers; returns the failure rate."""
         rng = random.Random(seed)
-        endpoint_health = outliers.OutlierDetector()
+        detector = outliers.OutlierDetector()
         endpoint_names = sorted(rates)
         failed = 0
         for request_number in range(requests):
             now = request_number * 0.05
-            doubtful = endpoint_health.outliers(endpoint_names, now)
+            outlier_names = detector.outliers(endpoint_names, now)
             candidates = [
-                other for other in endpoint_names if other not in doubtful
+                other for other in endpoint_names if other not in outlier_names
             ] or endpoint_names
             name = rng.choice(candidates)
             fails = rng.random() < rates[name]
             failed += fails
-            endpoint_health.record(name, failed=fails, now=now)
+            detector.record(name, failed=fails, now=now)
         return failed / requests
 
     @pytest.mark.parametrize("seed", range(5))
@@ -141,25 +145,25 @@
         assert self.simulate(rates, seed) < 0.6 / 3 * 0.75
 
     @pytest.mark.parametrize("seed", range(5))
-    def test_failures_of_all_endpoints_make_none_doubtful_for_long(self, seed):
+    def test_failures_of_all_endpoints_make_none_an_outlier_for_long(
+        self, seed
+    ):
         rng = random.Random(seed)
-        endpoint_health = outliers.OutlierDetector()
-        doubtful_count = 0
+        detector = outliers.OutlierDetector()
+        outlier_count = 0
         for number in range(600):
             now = number * 0.05
             name = rng.choice("abc")
-            endpoint_health.record(name, failed=rng.random() < 0.14, now=now)
-            doubtful_count += len(
-                endpoint_health.outliers(["a", "b", "c"], now)
-            )
-        assert doubtful_count / 600 < 0.5
+            detector.record(name, failed=rng.random() < 0.14, now=now)
+            outlier_count += len(detector.outliers(["a", "b", "c"], now))
+        assert outlier_count / 600 < 0.5
 
     def test_old_failures_expire(self):
-        endpoint_health = outliers.OutlierDetector()
+        detector = outliers.OutlierDetector()
         for _ in range(20):
-            endpoint_health.record("a", failed=True, now=0.0)
-        assert endpoint_health.outliers(["a", "b"], 1.0) == {"a"}
-        assert endpoint_health.outliers(["a", "b"], 10.0) == set()
+            detector.record("a", failed=True, now=0.0)
+        assert detector.outliers(["a", "b"], 1.0) == {"a"}
+        assert detector.outliers(["a", "b"], 10.0) == set()
 
 
 class FleetSimulation:
@@ -364,7 +368,7 @@
             old=evidence.OutcomeCounts(),
             began_at=0.0,
         )
-        self.sums = {"v1": [0] * 4, "v2": [0] * 4}
+        self.counts = {"v1": [0] * 4, "v2": [0] * 4}
         self.history = []
         self.new_requests = 0
         self.requests = 0
@@ -384,7 +388,7 @@
             new_version_serving = now > 4.0
             counts_by_version = {
                 version: evidence.OutcomeCounts(*counts)
-                for version, counts in self.sums.items()
+                for version, counts in self.counts.items()
             }
             step = rollout_policy.decide(
                 "u",
@@ -417,10 +421,10 @@
             if is_failing and self.failure_rate
             else self.old_rate
         )
-        sums = self.sums[version]
-        sums[0] += 1
-        sums[1] += self.rng.random() < failure_probability
-        sums[2] += 1
+        counts = self.counts[version]
+        counts[0] += 1
+        counts[1] += self.rng.random() < failure_probability
+        counts[2] += 1
 
 
 class TestRollout:
@@ -434,7 +438,7 @@
     @pytest.mark.parametrize(
         ("rate", "from_s"), [(0.3, 0.0), (0.5, 0.0), (0.4, 7.5), (0.4, 9.0)]
     )
-    def test_a_bad_version_is_reverted_within_its_exposure(
+    def test_a_bad_version_is_reverted_within_the_canary_share(
         self, seed, rate, from_s
     ):
         simulation = RolloutSimulation(
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -216,7 +216,7 @@
         view = {"versions": {"model": "v1"}, "live": {}}
         assert versions.pick_version(view, "model", "chat", "r") == ("v1", "")
 
-    def test_share_is_kept(self):
+    def test_new_version_gets_its_share(self):
         picks = [
             versions.pick_version(make_view(100), "model", "chat", f"r{i}")[0]
             for i in range(5000)
@@ -250,13 +250,13 @@
 OLD_VERSION = version_outcomes.OutcomeKey("model", "v1", "chat")
 
 
-def record_outcome(outcomes, side, failed, latency=0.1):
+def record_outcome(outcomes, key, failed, latency=0.1):
     return outcomes.record(
-        side,
+        key,
         failed=failed,
         latency_s=latency,
         baseline=OLD_VERSION,
-        is_new_version=side == NEW_VERSION,
+        is_new_version=key == NEW_VERSION,
     )
 
 
@@ -267,7 +267,7 @@
         assert cuts == [False, False, True, False]
         assert NEW_VERSION in outcomes.cut_off
 
-    def test_old_version_is_never_cut(self):
+    def test_old_version_is_never_cut_off(self):
         outcomes = version_outcomes.VersionOutcomes()
         assert not any(
             record_outcome(outcomes, OLD_VERSION, True) for _ in range(20)
