--- a/src/_arbutuswalk/relay/relay_state.py
+++ b/src/_arbutuswalk/relay/relay_state.py
@@ -68,9 +68,9 @@
     Attributes:
         ran: Requests that ran.
         failed: Those of them that failed.
-        timed: Those whose time to the first byte was compared with the average.
-        slow: Those of them whose first byte took several times as long as the
-            average on their route.
+        timed: Those that succeeded, whose time to the first byte is checked.
+        slow: Those of the timed ones whose first byte took several times as
+            long as the average on their route.
     """
 
     def __init__(self):
--- a/src/_arbutuswalk/state/evidence.py
+++ b/src/_arbutuswalk/state/evidence.py
@@ -16,7 +16,7 @@
     Attributes:
         ran: Finished requests.
         failed: Failures among them.
-        timed: Successful ones whose latency could be compared.
+        timed: Successful ones whose latency was checked.
         slow: Slow ones among the timed ones.
     """
 
--- a/src/_arbutuswalk/state/fleet.py
+++ b/src/_arbutuswalk/state/fleet.py
@@ -81,7 +81,7 @@
 
 
 def expire(tables: rows.Tables) -> None:
-    """Removes ended instances and settled orders after ``ENDED_KEPT_MS``."""
+    """Removes ended instances, settled orders and notices past retention."""
     cutoff_ms = tables.time_ms - ENDED_KEPT_MS
     for name, (at_ms, _) in list(tables.leaving.items()):
         if at_ms < cutoff_ms:
