--- a/src/_arbutuswalk/entry/exchange.py
+++ b/src/_arbutuswalk/entry/exchange.py
@@ -28,7 +28,7 @@
         attempt_id: Id of this attempt.
         key: Idempotency key to forward, or empty.
         priority: Priority to forward.
-        echo: Whether the upstream echoes ids.
+        echo: Whether the upstream echoes the attempt id.
     """
 
     address: str
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Reply:
-    """A complete answer to this attempt."""
+    """A complete response to this attempt."""
 
     status: int
     content_type: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Lost:
-    """No complete answer; the call may have reached the upstream."""
+    """No complete response; the call may have reached the upstream."""
 
     reason: str
 
@@ -72,7 +72,7 @@
 async def run(
     pool: pools.Pool, order: Order, *, timeout_s: float, fresh: bool
 ) -> Result:
-    """Sends one call and reads its complete answer.
+    """Sends one call and reads the complete response.
 
     Args:
         pool: Connections to upstreams.
@@ -110,23 +110,25 @@
     order: Order,
     deadline: float,
 ) -> Result:
-    """Reads an answer whose end can be told from a broken connection."""
+    """Reads a response, unless only the end of the connection would end it."""
     body = bytearray()
     while True:
         body += exchange.take_body()
         connection.resume_reading()
         if attempts.is_mismatched(exchange, order.echo):
             answered_id = exchange.mismatched_id
-            return Lost(reason=f"answer to another attempt: {answered_id!r}")
+            return Lost(reason=f"response to another attempt: {answered_id!r}")
         if connection.ends_at_close:
-            return Lost(reason="answer without length or end marker")
+            return Lost(
+                reason="response has neither a length nor chunked encoding"
+            )
         if len(body) > MAX_REPLY_BYTES:
-            return Lost(reason="answer too large")
+            return Lost(reason="response too large")
         if exchange.ended:
             break
         left_s = deadline - clock.monotonic()
         if not await exchange.wait_for_change(left_s):
-            return Lost(reason="no whole answer in time")
+            return Lost(reason="no complete response before the timeout")
     if not exchange.complete:
         return Lost(reason=exchange.failure)
     content_type = replies.first_value(exchange.headers, b"content-type")
--- a/src/_arbutuswalk/streams/answer.py
+++ b/src/_arbutuswalk/streams/answer.py
@@ -1,4 +1,4 @@
-"""The response to one request while it is generated, and its readers."""
+"""The answer to one request while it is generated, and its readers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Problem(NamedTuple):
-    """Why a request has no complete response.
+    """Why a request has no complete answer.
 
     Attributes:
         status: HTTP status.
@@ -25,7 +25,7 @@
 
 
 Reader = Callable[[], None]
-"""Called whenever events were added or the response ended."""
+"""Called whenever events were added or the answer ended."""
 
 
 class Answer:
@@ -36,7 +36,7 @@
         events: Engine events in order, without ids and separators.
         id_prefix: Start of every event's id line.
         done: Whether the end marker was received.
-        problem: Why the response ended without the end marker.
+        problem: Why the answer ended without the end marker.
         readers: Callbacks of attached readers.
     """
 
@@ -50,7 +50,7 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the response is complete or has failed."""
+        """Whether the answer is complete or has failed."""
         return self.done or self.problem is not None
 
     def add(self, events: list[bytes]) -> None:
@@ -63,18 +63,18 @@
         return framing.number_events(self.id_prefix, start, self.events[start:])
 
     def finish(self) -> None:
-        """Marks the response as complete."""
+        """Marks the answer as complete."""
         self.done = True
         self._wake()
 
     def fail(self, problem: Problem) -> None:
-        """Marks the response as failed, unless it has already ended."""
+        """Marks the answer as failed, unless it has already ended."""
         if not self.ended:
             self.problem = problem
             self._wake()
 
     def text(self) -> str:
-        """Returns the text delivered so far."""
+        """Returns the text of the events received so far."""
         return "".join(framing.event_text(event) for event in self.events)
 
     def _wake(self) -> None:
--- a/src/_arbutuswalk/streams/pool.py
+++ b/src/_arbutuswalk/streams/pool.py
@@ -15,14 +15,14 @@
 CONNECT_TIMEOUT_S = 0.6
 """Connect timeout. TCP retransmits a lost first packet only after one second,
 so a slightly longer timeout would only delay the detection of a dead
-endpoint."""
+upstream."""
 DEFAULT_IDLE_TIMEOUT_S = 3.0
-"""How long an idle connection is kept if its endpoint announces no timeout."""
+"""How long an idle connection is kept if its upstream announces no timeout."""
 IDLE_MARGIN_S = 1.0
-"""How long before the endpoint's timeout an idle connection is closed."""
+"""How long before the upstream's timeout an idle connection is closed."""
 NON_IDEMPOTENT_MAX_IDLE_S = 2.0
 """Longest idle time of a connection used for a non-idempotent request: after a
-short idle time the endpoint seldom closes the connection during the request."""
+short idle time the upstream seldom closes the connection during the request."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -31,7 +31,7 @@
 
     Attributes:
         reason: Why not.
-        refused: Whether the endpoint's instance refused the connection.
+        refused: Whether the upstream's instance refused the connection.
     """
 
     reason: str
@@ -65,7 +65,7 @@
         """Returns an idle connection or opens a new one.
 
         Args:
-            address: ``IP:port`` of the endpoint.
+            address: ``IP:port`` of the upstream.
             non_idempotent: Whether the request must not be sent again if it
                 is lost with its connection.
         """
--- a/testing/test_exchange.py
+++ b/testing/test_exchange.py
@@ -131,14 +131,16 @@
 
     async def test_no_response_before_the_timeout(self, connection_pool):
         (result,) = await run_calls(connection_pool, FakeService(b""))
-        assert result == exchange.Lost(reason="no whole answer in time")
+        assert result == exchange.Lost(
+            reason="no complete response before the timeout"
+        )
 
     async def test_response_too_large(self, connection_pool, monkeypatch):
         monkeypatch.setattr(exchange, "MAX_REPLY_BYTES", 1)
         (result,) = await run_calls(
             connection_pool, FakeService(COMPLETE_RESPONSE)
         )
-        assert result == exchange.Lost(reason="answer too large")
+        assert result == exchange.Lost(reason="response too large")
 
     async def test_refused_connection_is_reported_as_not_opened(
         self, connection_pool
