--- a/src/_arbutuswalk/control/discovery.py
+++ b/src/_arbutuswalk/control/discovery.py
@@ -68,8 +68,8 @@
         entries: State by entry id and incarnation.
         changed: Set and replaced when there is an update for entries.
         metrics: Counters of this process.
-        packed_routes: Route configuration as entries fetch it.
-        packed_routes_version: Version of that configuration.
+        compressed_routes: Route configuration as entries fetch it.
+        compressed_routes_version: Version of that configuration.
     """
 
     def __init__(self, *, member: members.Member):
@@ -81,8 +81,8 @@
         self.now: clock.Clock = member.now
         self.wall: clock.Clock = member.wall
         self.metrics = metrics.Metrics()
-        self.packed_routes_version = 0
-        self.packed_routes = b""
+        self.compressed_routes_version = 0
+        self.compressed_routes = b""
 
     def announce(self, endpoint: directories.Endpoint) -> bool:
         """Applies an announcement and forwards it to the other members."""
@@ -250,16 +250,16 @@
         return directories.has_changes_since(self.directory, revision)
 
     def routes_part(self, message: ttypes.RoutesRequest) -> ttypes.RoutesPart:
-        """Returns a part of the packed route configuration."""
+        """Returns a part of the compressed route configuration."""
         tables = self.member.tables
-        if self.packed_routes_version != tables.routes_version:
-            self.packed_routes_version = tables.routes_version
-            self.packed_routes = compressed_json.encode(tables.routes)
+        if self.compressed_routes_version != tables.routes_version:
+            self.compressed_routes_version = tables.routes_version
+            self.compressed_routes = compressed_json.encode(tables.routes)
         end = message.offset + ROUTES_PART_BYTES
         return ttypes.RoutesPart(
-            version=self.packed_routes_version,
-            size=len(self.packed_routes),
-            data=self.packed_routes[message.offset : end],
+            version=self.compressed_routes_version,
+            size=len(self.compressed_routes),
+            data=self.compressed_routes[message.offset : end],
         )
 
     def _build_update(self, revision: int) -> dict[str, Any]:
--- a/src/_arbutuswalk/control/durable_replica.py
+++ b/src/_arbutuswalk/control/durable_replica.py
@@ -65,10 +65,10 @@
         data: The data folder.
         wal: The write-ahead log in that folder.
         replica: The replica, set by ``recover``.
-        tables: State after all applied entries.
-        applied: Index of the last applied entry.
+        tables: State after all applied log entries.
+        applied: Index of the last applied log entry.
         snapshot_every: Log entries between two snapshots.
-        counts: Number of entries, syncs and messages, for the dump.
+        counts: Number of log entries, syncs and messages, for the dump.
     """
 
     def __init__(
@@ -205,7 +205,7 @@
             replication.saved(self.replica, last.index, last.term)
 
     def apply_next(self) -> Applied | None:
-        """Applies the next committed entry; None when there is none."""
+        """Applies the next committed log entry; None when there is none."""
         if self.applied >= self.replica.commit:
             return None
         self.applied += 1
--- a/src/_arbutuswalk/control/member.py
+++ b/src/_arbutuswalk/control/member.py
@@ -24,7 +24,7 @@
 
 TICK_INTERVAL_S = 0.02
 HELLO_INTERVAL_S = 0.3
-DISK_FULL_RETRY_S = 0.25
+DISK_FULL_RETRY_INTERVAL_S = 0.25
 """Interval between attempts to write to a full disk."""
 
 
@@ -97,7 +97,7 @@
 
     @property
     def tables(self) -> rows.Tables:
-        """State after all applied entries."""
+        """State after all applied log entries."""
         return self.durable_replica.tables
 
     @property
@@ -213,7 +213,7 @@
         again.
         """
         events.record(events.Event.DISK_REFUSED, errors.describe(self.failure))
-        await asyncio.sleep(DISK_FULL_RETRY_S)
+        await asyncio.sleep(DISK_FULL_RETRY_INTERVAL_S)
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(
             None, self.durable_replica.persist, ready
--- a/src/_arbutuswalk/control/metering.py
+++ b/src/_arbutuswalk/control/metering.py
@@ -46,15 +46,15 @@
     if due_micro <= 0:
         return None
     owners = _owners_and_slots(tables, reports)
-    uses = []
+    usages = []
     if meter.has_baseline:
         for instance, billed_micro in sorted(bill.items()):
-            uses.append(
-                _instance_use(
+            usages.append(
+                _instance_usage(
                     meter, instance, billed_micro, used_ms, owners, interval_s
                 )
             )
-    amounts = charges.divide(uses)
+    amounts = charges.divide(usages)
     unattributed_micro = due_micro - sum(amounts.values())
     _add_unattributed(amounts, unattributed_micro)
     meter.billed_micro = dict(bill)
@@ -63,7 +63,7 @@
     return commands.Charge(tables.intervals + 1, due_micro, amounts)
 
 
-def _instance_use(
+def _instance_usage(
     meter: Meter,
     instance: str,
     billed_micro: int,
--- a/src/_arbutuswalk/control/process.py
+++ b/src/_arbutuswalk/control/process.py
@@ -21,7 +21,7 @@
 
 EXIT_STORAGE_FAILED = 3
 EXPIRE_INTERVAL_S = 1.0
-DEFAULT_HEARTBEAT_S = 1.0
+DEFAULT_HEARTBEAT_INTERVAL_S = 1.0
 """Interval of endpoint heartbeats if the settings do not specify one."""
 SAVE_INTERVAL_S = 1.0
 """Interval at which a changed directory of endpoints is saved."""
@@ -119,7 +119,9 @@
     restored: list[directory.Endpoint],
 ) -> None:
     """Removes unconfirmed restored endpoints, then saves every change."""
-    heartbeat_s = values.get("endpoint_heartbeat_s", DEFAULT_HEARTBEAT_S)
+    heartbeat_s = values.get(
+        "endpoint_heartbeat_s", DEFAULT_HEARTBEAT_INTERVAL_S
+    )
     await asyncio.sleep(endpoint_cache.UNCONFIRMED_HEARTBEATS * heartbeat_s)
     for name in endpoint_cache.unconfirmed(discovery.directory, restored):
         discovery.remove_endpoint(name)
--- a/src/_arbutuswalk/control/scaling.py
+++ b/src/_arbutuswalk/control/scaling.py
@@ -80,14 +80,14 @@
         if key in reclaimed:
             continue
         reclaimed.add(key)
-        placed = fleet.accepted_orders.get((endpoint.domain, True))
+        accepted_order = fleet.accepted_orders.get((endpoint.domain, True))
         staying = sum(
             other.endpoint.domain == endpoint.domain
             and other.endpoint.reclaimable
             and other.endpoint.state == directory.READY
             for other in rows
         )
-        if placed is not None and placed.count > staying:
+        if accepted_order is not None and accepted_order.count > staying:
             scaling_policy.record_reclaim(fleet, endpoint.domain, now)
 
 
--- a/testing/test_duties.py
+++ b/testing/test_duties.py
@@ -201,11 +201,11 @@
         discovery.apply_announcement(
             test_crashes.make_endpoint("a", state=directory.LEAVING)
         )
-        confirming = asyncio.ensure_future(discovery.wait_for_entries())
+        waiting = asyncio.ensure_future(discovery.wait_for_entries())
         await asyncio.sleep(0.05)
-        assert not confirming.done()
+        assert not waiting.done()
         discovery._record_watch(watch(discovery), discovery.directory.revision)
-        assert await asyncio.wait_for(confirming, 10)
+        assert await asyncio.wait_for(waiting, 10)
 
     def test_silent_entries_are_not_ready_but_still_known(self):
         components = make_components()
--- a/testing/test_leases.py
+++ b/testing/test_leases.py
@@ -13,10 +13,10 @@
 
 @pytest.fixture
 def tables():
-    lease_table = rows.Tables()
+    new_tables = rows.Tables()
     command = commands.RegisterEntry("e", 1, "a", "l", "d", 1, "r")
-    state_machine.apply(lease_table, state_machine.stamp(command, 1), 1)
-    return lease_table
+    state_machine.apply(new_tables, state_machine.stamp(command, 1), 1)
+    return new_tables
 
 
 def sync(revision, view_version=0, active=()):
