--- a/src/_arbutuswalk/entry/at_most_once.py
+++ b/src/_arbutuswalk/entry/at_most_once.py
@@ -43,23 +43,23 @@
 
     A resend that arrives while the call runs here waits for the same answer.
     """
-    identity = (call.workspace, call.key)
+    scoped_key = (call.workspace, call.key)
     digest = _call_digest(call)
-    known_call = entry.running_calls.get(identity)
+    known_call = entry.running_calls.get(scoped_key)
     if known_call is not None:
         known_digest, future = known_call
         if known_digest != digest:
             return reused_problem()
         return await asyncio.shield(future)
     future = asyncio.get_running_loop().create_future()
-    entry.running_calls[identity] = (digest, future)
+    entry.running_calls[scoped_key] = (digest, future)
     try:
         outcome = await _commit_and_send(entry, call, digest)
     except BaseException:
         outcome = _unknown("the entry stopped while running the call")
         raise
     finally:
-        del entry.running_calls[identity]
+        del entry.running_calls[scoped_key]
         if not future.done():
             future.set_result(outcome)
     return outcome
@@ -134,7 +134,7 @@
         entry.record_usage(
             row.announcement["instance"], call.workspace, entry.now() - started
         )
-    service_routes.record_evidence(
+    service_routes.record_outcome(
         entry, call, row, result, entry.now() - started
     )
     if isinstance(result, exchange.NotOpened):
--- a/src/_arbutuswalk/entry/control_sync.py
+++ b/src/_arbutuswalk/entry/control_sync.py
@@ -109,10 +109,10 @@
         (move["upstream"], move["new"])
         for move in entry.moves.get("live", {}).values()
     }
-    entry.evidence.cut_off = {
-        side
-        for side in entry.evidence.cut_off
-        if (side.upstream, side.version) in live_versions
+    entry.version_outcomes.cut_off = {
+        outcome_key
+        for outcome_key in entry.version_outcomes.cut_off
+        if (outcome_key.upstream, outcome_key.version) in live_versions
     }
 
 
@@ -134,8 +134,11 @@
     }
     return {
         "upstreams": upstream_rows,
-        "evidence": entry.evidence.report(),
-        "cut": ["|".join(side) for side in entry.evidence.cut_off],
+        "evidence": entry.version_outcomes.report(),
+        "cut": [
+            "|".join(outcome_key)
+            for outcome_key in entry.version_outcomes.cut_off
+        ],
         "active": crash_quarantine.occupied_upstreams(entry),
         "usage": entry.slot_usage_ms,
         "waiting": {name: len(q) for name, q in entry.queues.items() if q},
--- a/src/_arbutuswalk/entry/crash_quarantine.py
+++ b/src/_arbutuswalk/entry/crash_quarantine.py
@@ -243,8 +243,8 @@
     a death report may still have to name it.
     """
     return [
-        identity
-        for identity, row in entry.upstreams.rows.items()
+        upstream_id
+        for upstream_id, row in entry.upstreams.rows.items()
         if row.active_attempts or row.unconfirmed_crashes
     ]
 
@@ -252,8 +252,8 @@
 def apply_isolations(entry: entry_state.Entry) -> None:
     """Applies isolations and moves other requests off reserved upstreams."""
     isolations = entry.view.get("quarantine", {}).get("isolations", {})
-    for identity, row in entry.upstreams.rows.items():
-        row.isolated = isolations.get(identity, "")
+    for upstream_id, row in entry.upstreams.rows.items():
+        row.isolated = isolations.get(upstream_id, "")
         if not row.isolated:
             continue
         for request_id in row.active_attempts:
@@ -301,16 +301,16 @@
     After a death the report has already ended it. Releasing it again is
     harmless, while an isolation that remained would block the upstream.
     """
-    identity, request.isolated_upstream = request.isolated_upstream, ""
-    if not identity:
+    upstream_id, request.isolated_upstream = request.isolated_upstream, ""
+    if not upstream_id:
         return
-    row = entry.upstreams.rows.get(identity)
+    row = entry.upstreams.rows.get(upstream_id)
     if row is not None and row.isolated == request.fingerprint:
         row.isolated = ""
     if cleared:
         entry.local_suspects.discard(request.fingerprint)
     await entry.control.submit(
-        commands.Release(request.fingerprint, identity, cleared),
+        commands.Release(request.fingerprint, upstream_id, cleared),
         timeout_s=CONTROL_TIMEOUT_S,
     )
 
--- a/src/_arbutuswalk/entry/delivery.py
+++ b/src/_arbutuswalk/entry/delivery.py
@@ -109,7 +109,7 @@
         if request.streamed:
             await _deliver_stream(reader, disconnected, reset)
         else:
-            await _deliver_whole(request, reader, disconnected)
+            await _deliver_single_response(request, reader, disconnected)
     finally:
         disconnected.cancel()
         request.answer.readers.discard(reader)
@@ -179,7 +179,7 @@
     return not disconnected.done()
 
 
-async def _deliver_whole(
+async def _deliver_single_response(
     request: model_requests.ModelRequest,
     reader: AnswerReader,
     disconnected: asyncio.Future,
--- a/src/_arbutuswalk/entry/entry_state.py
+++ b/src/_arbutuswalk/entry/entry_state.py
@@ -41,7 +41,7 @@
         upstreams: Upstreams that announced themselves.
         queues: Queue of waiting requests by upstream name.
         retry_budgets: Retry budget by upstream name.
-        evidence: Outcomes by upstream, version and route.
+        version_outcomes: Outcomes by upstream, version and route.
         requests: Model requests by id, kept while they can be resumed.
         request_ids_by_key: Request id by (workspace, idempotency key).
         running_calls: Digest and future of non-idempotent calls that run
@@ -57,7 +57,7 @@
         session: HTTP client that moves caches between upstreams.
         metrics: Counters and histograms.
         control: Client of the control group.
-        start_request: Starts to run a request that was taken over.
+        start_request: Starts to run a request taken over from another entry.
         slot_speeds: Measured tokens per second of a slot, by upstream name.
         slot_usage_ms: Slot milliseconds by instance and workspace since the
             start.
@@ -95,7 +95,7 @@
         self.upstreams = upstreams.Table()
         self.queues: dict[str, fair.FairQueue] = {}
         self.retry_budgets: dict[str, budget.Budget] = {}
-        self.evidence = version_outcomes.VersionOutcomes()
+        self.version_outcomes = version_outcomes.VersionOutcomes()
         self.requests: dict[str, model_requests.ModelRequest] = {}
         self.request_ids_by_key: dict[tuple[str, str], str] = {}
         self.running_calls: dict[tuple[str, str], Any] = {}
@@ -135,7 +135,7 @@
 
     @property
     def peers(self) -> dict[str, Any]:
-        """Other entries in the view, by id."""
+        """Other entries that are not gone, by id."""
         entries = self.view.get("entries", {})
         return {name: row for name, row in entries.items() if name != self.name}
 
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -153,7 +153,7 @@
         entry.now() - started,
     )
     _count_recomputed_tokens(state, result, events_before)
-    _record_evidence(state, row, result, first_token_s)
+    _record_outcome(state, row, result, first_token_s)
     await _handle_result(state, row, result)
 
 
@@ -226,7 +226,7 @@
         row.unconfirmed_crashes.discard(request.fingerprint)
         row.survived_at[request.fingerprint] = entry.now()
     # An attempt lost with its upstream is no sign of overload.
-    state.budget_exempt = died or _left_on_notice(state, row, result)
+    state.budget_exempt = died or _is_leaving_or_moved(state, row, result)
     if blamed == request.fingerprint:
         until_ms = entry.convicted_until_ms(request.fingerprint)
         request.answer.fail(
@@ -284,41 +284,43 @@
     return True, await crash_quarantine.report_death(state.entry, row)
 
 
-def _left_on_notice(
+def _is_leaving_or_moved(
     state: RunState, row: upstreams.Row, result: attempts.Result
 ) -> bool:
     leaving = row.health(state.entry.now()) is upstreams.Health.LEAVING
     return leaving or isinstance(result, attempts.Stopped)
 
 
-def _record_evidence(
+def _record_outcome(
     state: RunState,
     row: upstreams.Row,
     result: attempts.Result,
     first_token_s: list[float],
 ) -> None:
     entry, request = state.entry, state.request
-    if _left_on_notice(state, row, result):
-        return  # a reclaimed instance says nothing about the version
+    if _is_leaving_or_moved(state, row, result):
+        return  # a leaving upstream or a move says nothing of the version
     if isinstance(result, attempts.NotConnected):
         return
     assigned, previous = versions.pick_version(
         entry.moves, request.upstream, request.route, request.request_id
     )
     version = row.announcement["version"]
-    side = version_outcomes.OutcomeKey(request.upstream, version, request.route)
+    outcome_key = version_outcomes.OutcomeKey(
+        request.upstream, version, request.route
+    )
     baseline = version_outcomes.OutcomeKey(
         request.upstream, previous, request.route
     )
-    cut_off = entry.evidence.record(
-        side,
+    cut_off = entry.version_outcomes.record(
+        outcome_key,
         failed=not isinstance(result, attempts.Completed),
         latency_s=first_token_s[0] if first_token_s else 0.0,
         baseline=baseline if previous else None,
         is_new_version=bool(previous) and version == assigned,
     )
     if cut_off:
-        events.warn(events.Event.VERSION_CUT_OFF, *side)
+        events.warn(events.Event.VERSION_CUT_OFF, *outcome_key)
 
 
 def _count_recomputed_tokens(
--- a/src/_arbutuswalk/entry/link_handler.py
+++ b/src/_arbutuswalk/entry/link_handler.py
@@ -82,7 +82,7 @@
         "lease_left_s": max(0.0, entry.lease_expires_at - now),
         "draining": entry.draining,
         "upstreams": {
-            identity: {
+            upstream_id: {
                 "said": row.announcement,
                 "health": row.health(now).value,
                 "load": row.load,
@@ -91,7 +91,7 @@
                 "blocks": len(row.prefix_index.blocks),
                 "trust": row.prefix_index.trust,
             }
-            for identity, row in entry.upstreams.rows.items()
+            for upstream_id, row in entry.upstreams.rows.items()
         },
         "requests": {
             request_id: {
@@ -105,8 +105,11 @@
         },
         "copies": len(entry.copies),
         "waiting": {name: len(q) for name, q in entry.queues.items()},
-        "evidence": entry.evidence.report(),
-        "cut": ["|".join(side) for side in entry.evidence.cut_off],
+        "evidence": entry.version_outcomes.report(),
+        "cut": [
+            "|".join(outcome_key)
+            for outcome_key in entry.version_outcomes.cut_off
+        ],
         "counters": {
             f"{name}{{{labels}}}": count
             for (name, labels), count in entry.metrics.counters.items()
--- a/src/_arbutuswalk/entry/placement.py
+++ b/src/_arbutuswalk/entry/placement.py
@@ -32,14 +32,18 @@
 def candidates(
     entry: entry_state.Entry, name: str, route: str, request_id: str
 ) -> list[upstreams.Row]:
-    """Returns the upstreams of the version assigned to a request."""
+    """Returns the usable upstreams of the version assigned to a request.
+
+    A new version that this entry has cut off, or that has no usable upstream,
+    is replaced by the old version.
+    """
     rows = upstreams.usable(entry.upstreams, name, entry.now())
     assigned, fallback = versions.pick_version(
         entry.moves, name, route, request_id
     )
     cut_off = (
         version_outcomes.OutcomeKey(name, assigned, route)
-        in entry.evidence.cut_off
+        in entry.version_outcomes.cut_off
     )
     if not cut_off:
         chosen = [
--- a/src/_arbutuswalk/entry/service_routes.py
+++ b/src/_arbutuswalk/entry/service_routes.py
@@ -260,7 +260,7 @@
         )
     if isinstance(result, exchange.NotOpened):
         row.failed_at = entry.now()
-    record_evidence(entry, call, row, result, entry.now() - started)
+    record_outcome(entry, call, row, result, entry.now() - started)
     return result
 
 
@@ -280,14 +280,18 @@
     )
 
 
-def record_evidence(
+def record_outcome(
     entry: entry_state.Entry,
     call: ServiceCall,
     row: upstreams.Row,
     result: exchange.Result,
     latency_s: float,
 ) -> None:
-    """Records the outcome of a call by version, unless its upstream leaves."""
+    """Records the outcome of a call for the version that ran it.
+
+    Nothing is recorded for a call that was not sent or whose upstream is
+    leaving, since neither says anything about the version.
+    """
     leaving = row.health(entry.now()) is upstreams.Health.LEAVING
     if leaving or isinstance(result, exchange.NotOpened):
         return
@@ -297,7 +301,7 @@
     )
     version = row.announcement["version"]
     ok = isinstance(result, exchange.Reply) and result.status < 500
-    entry.evidence.record(
+    entry.version_outcomes.record(
         version_outcomes.OutcomeKey(name, version, route),
         failed=not ok,
         latency_s=latency_s,
--- a/src/_arbutuswalk/entry/upstream_announcements.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -25,7 +25,8 @@
 
 MAX_CACHE_EVENT_BLOCKS = 4096
 RESTART_WINDOW_S = 3.0
-"""Time from broken connections to the announcement of a restarted upstream."""
+"""Longest time from broken connections to the announcement of a restarted
+upstream."""
 
 
 def announce_endpoint(entry: entry_state.Entry):
@@ -89,9 +90,9 @@
     age_s: float,
 ) -> upstreams.Refused | None:
     """Applies an announcement that was made ``age_s`` seconds ago."""
-    heard_at = entry.now() - age_s
+    announced_at = entry.now() - age_s
     outcome = upstreams.announce(
-        entry.upstreams, announcement, announced_at=heard_at
+        entry.upstreams, announcement, announced_at=announced_at
     )
     if isinstance(outcome, upstreams.Refused):
         return outcome
@@ -127,18 +128,19 @@
 def _report_replaced_death(
     entry: entry_state.Entry, replaced: upstreams.Row | None
 ) -> None:
-    """Reports the death of an incarnation that restarted before a probe.
+    """Reports the death of an upstream that restarted before it was probed.
 
     Its connections broke, but the probe that followed was answered by the
-    incarnation that replaced it, so its attempts were recorded as spared.
+    incarnation that replaced it, so the upstream was recorded as having
+    survived its attempts.
     """
     if replaced is None:
         return
     earliest = entry.now() - RESTART_WINDOW_S
     replaced.unconfirmed_crashes |= {
         fingerprint
-        for fingerprint, spared_at in replaced.survived_at.items()
-        if spared_at > earliest
+        for fingerprint, survived_at in replaced.survived_at.items()
+        if survived_at > earliest
     }
     if not (replaced.unconfirmed_crashes or replaced.active_attempts):
         return
--- a/testing/test_crash_quarantine.py
+++ b/testing/test_crash_quarantine.py
@@ -98,7 +98,7 @@
         crash_quarantine.expire_peer_suspects(entries[1])
         assert entries[1].peer_suspects == {}
 
-    def test_death_report_sends_all_running_fingerprints_to_peers(
+    def test_death_report_sends_the_suspects_to_peers(
         self, loop, entries, monkeypatch
     ):
         sent_updates = []
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -159,7 +159,7 @@
     def test_token(self, edge, headers):
         assert edge.post(PLAIN, ask(), headers=headers).status == 401
 
-    def test_messages(self, edge):
+    def test_message_without_content(self, edge):
         body = {"model": "model", "messages": [{"role": "user"}]}
         response = edge.post(CHAT, body)
         assert "messages[0]" in response.json["detail"]
@@ -260,7 +260,7 @@
         assert events[-1].endswith(b"data: [DONE]")
         check_generated_text("r1", text_of(events))
 
-    def test_whole_answer(self, edge):
+    def test_answer_without_streaming(self, edge):
         response = edge.post(PLAIN, ask(stream=False))
         check_generated_text("r1", response.json["choices"][0]["text"])
 
@@ -319,8 +319,8 @@
         task.cancel()
 
     def test_no_upstream_is_refused_with_retry_after(self, edge):
-        for identity in list(edge.entry.upstreams.rows):
-            edge.entry.upstreams.remove(identity)
+        for upstream_id in list(edge.entry.upstreams.rows):
+            edge.entry.upstreams.remove(upstream_id)
         response = edge.post(PLAIN, ask())
         assert response.status == 503
         assert response.json["ran"] == "no"
