--- a/testing/platform_fixtures.py
+++ b/testing/platform_fixtures.py
@@ -157,7 +157,7 @@
         class NullRelay:
             class directory:  # noqa: N801
                 rows = {}
-                holders = {}
+                ids_by_address = {}
                 revision = 0
 
             @staticmethod
