--- a/testing/entry_fixtures.py
+++ b/testing/entry_fixtures.py
@@ -96,7 +96,7 @@
         self.modes = ["ok"]
         self.entry_reports = {}
 
-    def runs_alone(self, upstream):
+    def is_idle(self, upstream):
         """Returns whether all entries report a reserved upstream as idle."""
         isolation = self.tables.isolations.get(upstream)
         return isolation is not None and all(
@@ -143,7 +143,7 @@
     async def read(self, query, argument="", *, timeout_s):
         if query == "alone":
             await asyncio.sleep(0.002)
-            return {"alone": self.control.runs_alone(argument)}
+            return {"alone": self.control.is_idle(argument)}
         assert query == "call"
         await asyncio.sleep(0.002)
         if self.control.rng.choice(self.control.modes) == "lost":
@@ -193,7 +193,7 @@
     entry.registered = True
 
 
-def said(identity, upstream, **extra):
+def make_announcement(identity, upstream, **extra):
     """Returns an announcement of an upstream; ``extra`` overrides fields."""
     return {
         "id": identity,
@@ -223,6 +223,6 @@
     "Control",
     "make_entry",
     "refresh",
-    "said",
+    "make_announcement",
     "virtual",
 ]
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -102,7 +102,7 @@
         for identity in UPSTREAMS:
             upstreams.announce(
                 entry.upstreams,
-                entry_fixtures.said(identity, "claims"),
+                entry_fixtures.make_announcement(identity, "claims"),
                 announced_at=self.loop.time(),
             )
         self.entries[name] = entry
--- a/testing/relay_fixtures.py
+++ b/testing/relay_fixtures.py
@@ -108,18 +108,20 @@
         self.data = b""
         self.complete = False
 
-    async def head(self, status, headers):
+    async def send_head(self, status, headers):
         self.status, self.headers = status, headers
 
-    async def body(self, data):
+    async def send_body(self, data):
         self.data += data
 
-    async def end(self):
+    async def end_answer(self):
         self.complete = True
 
-    def deliver(self, relay, request):
+    def make_delivery(self, relay, request):
         sender = requests.AnswerSender(
-            send_head=self.head, send_body=self.body, end_answer=self.end
+            send_head=self.send_head,
+            send_body=self.send_body,
+            end_answer=self.end_answer,
         )
         return delivery.Delivery(relay=relay, request=request, sender=sender)
 
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -24,7 +24,7 @@
 
 TOKEN_INTERVAL_S = 0.05
 MAX_TOKENS = 12
-RUNNERS = 5
+RUNNER_COUNT = 5
 MODES = ["good", "good", "good", "broke", "silent", "cross", "error", "down"]
 POISON = "poison"
 
@@ -40,9 +40,9 @@
         self.sequence = 0
         self.running = 0
 
-    def said(self):
+    def next_announcement(self):
         self.sequence += 1
-        return entry_fixtures.said(
+        return entry_fixtures.make_announcement(
             self.identity,
             "model",
             incarnation=self.incarnation,
@@ -64,7 +64,7 @@
         self.runners = {}
         self.incarnation = 0
         self.killed_by = {}
-        for i in range(RUNNERS):
+        for i in range(RUNNER_COUNT):
             self.start(f"u{i}")
 
     def start(self, identity):
@@ -186,7 +186,7 @@
 
     def _announce(self, entry, runner):
         upstream_announcements.apply_announcement(
-            entry, runner.said(), age_s=0.0
+            entry, runner.next_announcement(), age_s=0.0
         )
 
     def _pass(self, seconds):
@@ -256,7 +256,7 @@
     def time_passes(self, seconds):
         self._pass(seconds)
 
-    @stateful.rule(i=st.integers(0, RUNNERS - 1))
+    @stateful.rule(i=st.integers(0, RUNNER_COUNT - 1))
     def reclaim_with_notice(self, i):
         runner = self.fleet.runners[f"u{i}"]
         if runner.alive and not runner.leaving:
@@ -274,7 +274,7 @@
         for i in range(3):
             self.reclaim_with_notice(i)
 
-    @stateful.rule(i=st.integers(0, RUNNERS - 1))
+    @stateful.rule(i=st.integers(0, RUNNER_COUNT - 1))
     def replace(self, i):
         if not self.fleet.runners[f"u{i}"].alive:
             self.fleet.start(f"u{i}")
@@ -290,7 +290,7 @@
             if hasattr(self, "fleet"):
                 self.fleet.modes = ["good"]
                 self._pass(3)  # until all leaving runners are gone
-                for i in range(RUNNERS):
+                for i in range(RUNNER_COUNT):
                     self.replace(i)
                 self._pass(100)
                 self._check()
--- a/testing/test_crash_quarantine.py
+++ b/testing/test_crash_quarantine.py
@@ -108,7 +108,7 @@
             lambda entry, update: sent_updates.append(update),
         )
         entry = entries[0]
-        announcement = entry_fixtures.said("u0", "model")
+        announcement = entry_fixtures.make_announcement("u0", "model")
         upstreams.announce(
             entry.upstreams, announcement, announced_at=loop.time()
         )
@@ -141,7 +141,7 @@
     ):
         """With two of four upstreams dead, both others may be reserved."""
         entry = entries[0]
-        announcement = entry_fixtures.said("u0", "model")
+        announcement = entry_fixtures.make_announcement("u0", "model")
         upstreams.announce(
             entry.upstreams, announcement, announced_at=loop.time()
         )
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -109,7 +109,7 @@
         request = relay_fixtures.make_request(relay)
         caller = relay_fixtures.RecordingCaller()
         await relaying.relay_request(
-            relay, request, caller.deliver(relay, request)
+            relay, request, caller.make_delivery(relay, request)
         )
         endpoint.stop()
         assert [each.endpoint_id for each in relay.crashes.suspects] == ["e1"]
--- a/testing/test_entry.py
+++ b/testing/test_entry.py
@@ -39,7 +39,7 @@
         self.entry = entry_fixtures.make_entry(self.loop, self.control, "a")
         self.app = app.make_app(self.entry)
         for runner in self.fleet.runners.values():
-            announcement = runner.said()
+            announcement = runner.next_announcement()
             self.announce(announcement)
 
     def announce(self, announcement):
@@ -178,8 +178,8 @@
             {},
             [],
             {"id": "u0"},
-            entry_fixtures.said("", "model"),
-            entry_fixtures.said("x", "model", address="nowhere"),
+            entry_fixtures.make_announcement("", "model"),
+            entry_fixtures.make_announcement("x", "model", address="nowhere"),
         ],
     )
     def test_announcement(self, edge, said):
@@ -187,7 +187,7 @@
 
     def test_announcement_of_a_known_id_from_another_address(self, edge):
         address_before = edge.entry.upstreams.rows["u0"].announcement["address"]
-        announcement = entry_fixtures.said(
+        announcement = entry_fixtures.make_announcement(
             "u0", "model", address="127.0.0.1:77", incarnation=1, sequence=50
         )
         assert edge.announce(announcement).status == 409
@@ -465,7 +465,7 @@
         edge.post(PLAIN, ask())
         dumped = json.loads(json.dumps(link_handler.dump_state(edge.entry)))
         assert dumped["role"] == "entry"
-        assert len(dumped["upstreams"]) == stream_machine.RUNNERS
+        assert len(dumped["upstreams"]) == stream_machine.RUNNER_COUNT
 
     def test_explain_lists_each_attempt(self, edge):
         edge.post(PLAIN, ask())
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -27,7 +27,7 @@
     started = [await each.start(relay) for each in endpoints]
     caller = relay_fixtures.RecordingCaller()
     request = relay_fixtures.make_request(relay, **changes)
-    caller_delivery = caller.deliver(relay, request)
+    caller_delivery = caller.make_delivery(relay, request)
     await relaying.relay_request(relay, request, caller_delivery)
     for each in started:
         each.stop()
@@ -148,7 +148,7 @@
             caller = relay_fixtures.RecordingCaller()
             request = relay_fixtures.make_request(relay)
             await relaying.relay_request(
-                relay, request, caller.deliver(relay, request)
+                relay, request, caller.make_delivery(relay, request)
             )
             assert caller.data == expected
         assert endpoint.connection_count == 2
@@ -162,7 +162,7 @@
             await relaying.relay_request(
                 relay,
                 request,
-                relay_fixtures.RecordingCaller().deliver(relay, request),
+                relay_fixtures.RecordingCaller().make_delivery(relay, request),
             )
         assert endpoint.connection_count == 1
         endpoint.stop()
@@ -316,7 +316,7 @@
         request = relay_fixtures.make_request(relay)
         task = asyncio.ensure_future(
             relaying.relay_request(
-                relay, request, caller.deliver(relay, request)
+                relay, request, caller.make_delivery(relay, request)
             )
         )
         await asyncio.sleep(0.05)
@@ -403,7 +403,7 @@
 
         endpoint = await relay_fixtures.ScriptedEndpoint(endless).start(relay)
         request = relay_fixtures.make_request(relay)
-        caller_delivery = relay_fixtures.RecordingCaller().deliver(
+        caller_delivery = relay_fixtures.RecordingCaller().make_delivery(
             relay, request
         )
         task = asyncio.ensure_future(
--- a/testing/test_routing.py
+++ b/testing/test_routing.py
@@ -14,7 +14,7 @@
 
 
 def row(identity, running=0, slots=4, cache_tokens=4096, price=0):
-    announcement = entry_fixtures.said(
+    announcement = entry_fixtures.make_announcement(
         identity,
         "model",
         running=running,
@@ -28,12 +28,12 @@
 
 class TestAnnouncements:
     def test_valid_announcement_is_returned_unchanged(self):
-        raw = entry_fixtures.said("u", "model")
+        raw = entry_fixtures.make_announcement("u", "model")
         assert announcements.check(raw) == raw
 
     @pytest.mark.parametrize("key", ["id", "address", "incarnation", "slots"])
     def test_missing_key_is_named(self, key):
-        raw = entry_fixtures.said("u", "model")
+        raw = entry_fixtures.make_announcement("u", "model")
         del raw[key]
         bad = announcements.check(raw)
         assert isinstance(bad, announcements.BadAnnouncement)
@@ -49,14 +49,16 @@
 def table():
     upstream_table = upstreams.Table()
     upstreams.announce(
-        upstream_table, entry_fixtures.said("u", "model"), announced_at=10.0
+        upstream_table,
+        entry_fixtures.make_announcement("u", "model"),
+        announced_at=10.0,
     )
     return upstream_table
 
 
 class TestUpstreamTable:
     def test_identity_of_another_is_refused(self, table):
-        other = entry_fixtures.said(
+        other = entry_fixtures.make_announcement(
             "u", "model", address="127.0.0.1:66", sequence=9
         )
         outcome = upstreams.announce(table, other, announced_at=10.1)
@@ -64,7 +66,7 @@
         assert table.rows["u"].announcement["address"] == "127.0.0.1:9"
 
     def test_new_incarnation_may_be_elsewhere(self, table):
-        other = entry_fixtures.said(
+        other = entry_fixtures.make_announcement(
             "u", "model", address="1.1.1.1:1", incarnation=2
         )
         outcome = upstreams.announce(table, other, announced_at=10.1)
@@ -72,19 +74,23 @@
         assert outcome.replaced is not None
 
     def test_old_incarnation_is_refused(self, table):
-        newer = entry_fixtures.said("u", "model", incarnation=5)
+        newer = entry_fixtures.make_announcement("u", "model", incarnation=5)
         upstreams.announce(table, newer, announced_at=10.1)
         outcome = upstreams.announce(
             table,
-            entry_fixtures.said("u", "model", sequence=99),
+            entry_fixtures.make_announcement("u", "model", sequence=99),
             announced_at=10.2,
         )
         assert isinstance(outcome, upstreams.Refused)
 
     def test_older_announcement_changes_nothing(self, table):
-        newer = entry_fixtures.said("u", "model", sequence=5, running=3)
+        newer = entry_fixtures.make_announcement(
+            "u", "model", sequence=5, running=3
+        )
         upstreams.announce(table, newer, announced_at=11.0)
-        older = entry_fixtures.said("u", "model", sequence=4, running=1)
+        older = entry_fixtures.make_announcement(
+            "u", "model", sequence=4, running=1
+        )
         upstreams.announce(table, older, announced_at=12.0)
         assert table.rows["u"].announcement["running"] == 3
         assert table.rows["u"].announced_at == 11.0
@@ -98,7 +104,7 @@
         assert not table.rows
 
     def test_leaving_upstream_gets_no_new_requests(self, table):
-        leaving = entry_fixtures.said(
+        leaving = entry_fixtures.make_announcement(
             "u", "model", sequence=2, leaving=True, leave_in_s=3.0
         )
         outcome = upstreams.announce(table, leaving, announced_at=10.5)
@@ -116,7 +122,9 @@
         known_row.sent_since_report = 3
         known_row.ended_since_report = 1
         assert known_row.load == 2
-        fresh = entry_fixtures.said("u", "model", sequence=2, running=2)
+        fresh = entry_fixtures.make_announcement(
+            "u", "model", sequence=2, running=2
+        )
         upstreams.announce(table, fresh, announced_at=10.4)
         assert known_row.load == 2
 
