--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis state machine for non-repeatable calls; counts their runs."""
+"""Hypothesis state machine for non-idempotent calls; counts their runs."""
 
 import asyncio
 import random
@@ -72,16 +72,16 @@
 
 
 class LedgerMachine(stateful.RuleBasedStateMachine):
-    """Two entries, callers that resend, and everything that can be lost."""
+    """Two entries and resending callers; messages and entries may be lost."""
 
     def __init__(self):
         super().__init__()
         self.loop = virtual.VirtualLoop()
-        self.original = exchange.run
+        self.original_run = exchange.run
         self.entries = {}
         self.incarnation = 1
         self.sent = []
-        self.number = 0
+        self.call_count = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
@@ -107,7 +107,7 @@
             )
         self.entries[name] = entry
 
-    def _pass(self, seconds):
+    def _run_for(self, seconds):
         for entry in self.entries.values():
             for row in entry.upstreams.rows.values():
                 row.announced_at = self.loop.time() + seconds
@@ -130,9 +130,9 @@
     def send(self, name, key, body):
         entry = self.entries[name]
         upstream = inventories.find_upstream(entry.inventory, "claims")
-        self.number += 1
+        self.call_count += 1
         call = service_routes.ServiceCall(
-            call_id=f"{name}~{self.number}",
+            call_id=f"{name}~{self.call_count}",
             workspace="w",
             upstream=upstream,
             route=upstream["routes"][0],
@@ -150,20 +150,25 @@
     @stateful.precondition(lambda self: self.sent)
     @stateful.rule(seconds=st.sampled_from([0.05, 6.0]))
     def resend_everywhere(self, seconds):
-        """A caller that lost its answer asks every entry."""
+        """Resends the last call to every entry, as if its answer was lost."""
         _, call, _ = self.sent[-1]
-        self._pass(seconds)
+        self._run_for(seconds)
         for name in self.entries:
             self.send(name, int(call.key[1:]), call.body)
-        self._pass(seconds)
+        self._run_for(seconds)
 
     @stateful.rule(seconds=st.sampled_from([0.001, 0.006, 0.05, 1.0, 12.0]))
     def time_passes(self, seconds):
-        self._pass(seconds)
+        self._run_for(seconds)
 
-    @stateful.rule(name=st.sampled_from(["a", "b"]), told=st.booleans())
-    def entry_dies(self, name, told):
-        """Kills an entry at whatever step it is, and starts it again."""
+    @stateful.rule(
+        name=st.sampled_from(["a", "b"]), reported_gone=st.booleans()
+    )
+    def entry_dies(self, name, reported_gone):
+        """Kills an entry at any step of its calls, and restarts it.
+
+        With ``reported_gone``, control records the death before the restart.
+        """
         entry = self.entries[name]
         for owner, _, task in self.sent:
             if owner == name and not task.done():
@@ -171,7 +176,7 @@
         for task in list(entry.background_tasks):
             task.cancel()
         self.loop.run_until_complete(asyncio.sleep(0))
-        if told:
+        if reported_gone:
             self.control.commit(
                 commands.SetEntryState(name, entry.incarnation, entries.GONE)
             )
@@ -179,7 +184,7 @@
 
     @stateful.rule(name=st.sampled_from(["a", "b"]))
     def entry_is_paused_and_declared_gone(self, name):
-        """The entry goes on under an incarnation that counts as gone."""
+        """The entry keeps running while control has it recorded as gone."""
         entry = self.entries[name]
         self.control.commit(
             commands.SetEntryState(name, entry.incarnation, entries.GONE)
@@ -216,7 +221,10 @@
                 assert result.body == f"done {call.key}".encode()
 
     def _check_records(self):
-        """A record that stays running for nobody blocks its key for good."""
+        """Checks that no record is still ``running`` after all attempts ended.
+
+        Such a record would block its key until it expires.
+        """
         for call, row in self.control.tables.calls.items():
             assert row.state != "running", (call, row)
 
@@ -224,10 +232,10 @@
         try:
             if hasattr(self, "exchange"):
                 self.control.modes = ["ok"]
-                self._pass(80)
+                self._run_for(80)
                 self.no_key_ran_twice()
                 self._check_answers()
                 self._check_records()
         finally:
-            exchange.run = self.original
+            exchange.run = self.original_run
             virtual.close(self.loop)
--- a/testing/stream_machine.py
+++ b/testing/stream_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzz test of model requests over runners that fail."""
+"""Hypothesis state machine for model requests over failing runners."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 MAX_TOKENS = 12
 RUNNER_COUNT = 5
 MODES = ["good", "good", "good", "broke", "silent", "cross", "error", "down"]
-POISON = "poison"
+POISON_PROMPT = "poison"
 
 
 class Runner:
@@ -71,7 +71,7 @@
         self.incarnation += 1
         self.runners[identity] = Runner(identity, self.incarnation)
 
-    def at(self, address):
+    def runner_at(self, address):
         return self.runners[f"u{int(address.rpartition(':')[2]) - 9000}"]
 
     def die(self, runner, reference=None):
@@ -84,7 +84,7 @@
                 self.killed_by[reference] = kills + 1
 
     async def run(self, order, deadlines, on_events):
-        runner = self.at(order.address)
+        runner = self.runner_at(order.address)
         mode = self.rng.choice(self.modes)
         await asyncio.sleep(0.002)
         if not runner.alive or mode == "down":
@@ -104,7 +104,7 @@
         fault_position = self.rng.randint(position, MAX_TOKENS)
         while position < order.body["max_tokens"]:
             await asyncio.sleep(TOKEN_INTERVAL_S)
-            if POISON in prompt and position >= 3:
+            if POISON_PROMPT in prompt and position >= 3:
                 self.die(runner, reference)
             if not runner.alive:
                 return attempts.Broke(reason="reset")
@@ -128,14 +128,14 @@
     def __init__(self):
         super().__init__()
         self.loop = virtual.VirtualLoop()
-        self.saved = (
+        self.original_functions = (
             attempts.run,
             crash_quarantine._probe,
             migration.copy_cache,
         )
         self.sent = []
-        self.poisoned = []
-        self.number = 0
+        self.crashing = []
+        self.request_count = 0
 
     @stateful.initialize(seed=st.integers(0, 2**16))
     def begin(self, seed):
@@ -148,7 +148,7 @@
         ]
         attempts.run = self.fleet.run
         crash_quarantine._probe = self._probe
-        migration.copy_cache = self._no_export
+        migration.copy_cache = self._skip_cache_copy
         for entry in self.entries:
             entry.start_request = lambda request, entry=entry: (
                 model_routes.start_task(entry, request)
@@ -157,13 +157,13 @@
 
     async def _probe(self, address):
         await asyncio.sleep(0.001)
-        return "open" if self.fleet.at(address).alive else "refused"
+        return "open" if self.fleet.runner_at(address).alive else "refused"
 
-    async def _no_export(self, entry, row, request):
+    async def _skip_cache_copy(self, entry, row, request):
         await asyncio.sleep(0.01)
 
     async def _upkeep(self):
-        """Heartbeats, views and expiry, as processes run them."""
+        """Renews announcements and views and expires upstreams."""
         while True:
             for entry in self.entries:
                 entry.view = json.loads(
@@ -178,7 +178,7 @@
             await asyncio.sleep(0.3)
 
     def _report_active(self, entry):
-        """What the entry's next request for a stamp tells the leader."""
+        """Records the log index and the occupied upstreams of a sync."""
         self.control.entry_reports[entry.name] = (
             self.control.index,
             crash_quarantine.occupied_upstreams(entry),
@@ -189,11 +189,11 @@
             entry, runner.next_announcement(), age_s=0.0
         )
 
-    def _pass(self, seconds):
+    def _run_for(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def _send(self, entry, reference, text):
-        self.number += 1
+        self.request_count += 1
         body = {
             "model": "model",
             "prompt": f"{text} ref:{reference}",
@@ -202,7 +202,7 @@
         }
         raw = json.dumps(body).encode()
         request = model_requests.ModelRequest(
-            request_id=f"{entry.name}~{self.number}",
+            request_id=f"{entry.name}~{self.request_count}",
             workspace="w",
             weight=1,
             key="",
@@ -223,25 +223,27 @@
     @stateful.rule(i=st.integers(0, 1), count=st.integers(1, 4))
     def send(self, i, count):
         for _ in range(count):
-            reference = f"r{self.number}"
+            reference = f"r{self.request_count}"
             request = self._send(self.entries[i], reference, "hello")
             self.sent.append((reference, request))
 
-    @stateful.precondition(lambda self: len(self.poisoned) < 2)
+    @stateful.precondition(lambda self: len(self.crashing) < 2)
     @stateful.rule(i=st.integers(0, 1))
     def send_crashing(self, i):
-        reference = f"p{len(self.poisoned)}"
-        request = self._send(self.entries[i], reference, POISON)
-        self.poisoned.append((reference, [request]))
+        reference = f"p{len(self.crashing)}"
+        request = self._send(self.entries[i], reference, POISON_PROMPT)
+        self.crashing.append((reference, [request]))
 
-    @stateful.precondition(lambda self: self.poisoned)
+    @stateful.precondition(lambda self: self.crashing)
     @stateful.rule(i=st.integers(0, 1))
     def resend_crashing(self, i):
-        """The caller sends it again once it was told that it failed."""
-        reference, tries = self.poisoned[-1]
-        if tries[-1].answer.ended and not self._is_convicted(tries[-1], i):
-            request = self._send(self.entries[i], reference, POISON)
-            tries.append(request)
+        """Resends a crashing request that ended, unless it is convicted."""
+        reference, requests = self.crashing[-1]
+        if requests[-1].answer.ended and not self._is_convicted(
+            requests[-1], i
+        ):
+            request = self._send(self.entries[i], reference, POISON_PROMPT)
+            requests.append(request)
 
     def _is_convicted(self, request, i):
         return self.entries[i].convicted_until_ms(request.fingerprint) > 0
@@ -254,7 +256,7 @@
 
     @stateful.rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 4.0]))
     def time_passes(self, seconds):
-        self._pass(seconds)
+        self._run_for(seconds)
 
     @stateful.rule(i=st.integers(0, RUNNER_COUNT - 1))
     def reclaim_with_notice(self, i):
@@ -262,15 +264,17 @@
         if runner.alive and not runner.leaving:
             runner.leaving = True
             for entry in self.entries:
-                self.loop.run_until_complete(self._tell(entry, runner))
+                self.loop.run_until_complete(
+                    self._announce_on_loop(entry, runner)
+                )
             self.loop.call_later(2.0, self.fleet.die, runner)
 
-    async def _tell(self, entry, runner):
+    async def _announce_on_loop(self, entry, runner):
         self._announce(entry, runner)
 
     @stateful.rule()
     def reclaim_a_domain(self):
-        """A wave: three of five on two seconds of notice."""
+        """Reclaims three of the five runners at once, with 2 s of notice."""
         for i in range(3):
             self.reclaim_with_notice(i)
 
@@ -289,14 +293,14 @@
         try:
             if hasattr(self, "fleet"):
                 self.fleet.modes = ["good"]
-                self._pass(3)  # until all leaving runners are gone
+                self._run_for(3)  # until all leaving runners are gone
                 for i in range(RUNNER_COUNT):
                     self.replace(i)
-                self._pass(100)
+                self._run_for(100)
                 self._check()
         finally:
             attempts.run, crash_quarantine._probe, migration.copy_cache = (
-                self.saved
+                self.original_functions
             )
             virtual.close(self.loop)
 
@@ -314,6 +318,6 @@
             assert checks.check_text(item, result.text()) == ""
 
     def _check_problem(self, reference, request):
-        """An innocent request fails only by its version's own errors."""
+        """A harmless request may fail only by errors that upstreams return."""
         problem: answer.Problem = request.answer.problem
         assert problem.title == "upstream error", (problem, request.history)
