--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -20,7 +20,9 @@
     Attributes:
         files: Content of each file as the process reads it.
         durable: Synced content of each file.
+        durable_names: Names of the files that exist after a crash.
         full: Whether writes fail because the disk is full.
+        skip_sync: Whether syncs report success without storing anything.
     """
 
     def __init__(self):
@@ -269,7 +271,10 @@
                 self.in_transit.append((source, target, member, message))
 
     def leader(self):
-        """Returns the node that holds the leader's lease, or None."""
+        """Returns the node that holds the leader's lease, or None.
+
+        Fails if two nodes hold it. ``run_round`` calls it for this check.
+        """
         leaders = [n for n in self.nodes.values() if n.holds_lease]
         assert len(leaders) <= 1, [n.address for n in leaders]
         return leaders[0] if leaders else None
@@ -292,7 +297,7 @@
         return None
 
     def repair(self, seconds=30.0):
-        """Waits until the group is complete and all its voters are present."""
+        """Waits until the group is complete and no voter's disk is lost."""
         for _ in range(int(seconds / 0.5)):
             leader = self.settle()
             assert leader is not None, "no leader after healing"
--- a/testing/platform_fixtures.py
+++ b/testing/platform_fixtures.py
@@ -46,7 +46,7 @@
     }
 
 
-def handles_signals(process):
+def handles_sighup(process):
     """Returns whether a process ignores or handles SIGHUP.
 
     The programs set their disposition of SIGHUP first of all, which the kernel
@@ -128,7 +128,7 @@
             return 0, str(error).encode()
 
     async def call_control(self, method, path, body=None, only_ip=None):
-        """Calls control processes in turn until one gives a status but 503."""
+        """Calls control processes in turn until one answers, but not 503."""
 
         async def attempt_call():
             for ip in [only_ip] if only_ip else self.control_ips:
--- a/testing/soak/__main__.py
+++ b/testing/soak/__main__.py
@@ -30,8 +30,9 @@
             violations = await soak_run.run(arguments.seconds)
             served = sum(attempt.status == 200 for attempt in soak_run.attempts)
             print(
-                f"seed {seed}: {len(soak_run.attempts)} tried, {served} served,"
-                f" {len(soak_run.fault_log)} faults, {len(violations)} broken",
+                f"seed {seed}: {len(soak_run.attempts)} attempts,"
+                f" {served} served, {len(soak_run.fault_log)} faults,"
+                f" {len(violations)} violations",
                 flush=True,
             )
             for violation in violations[:5]:
--- a/testing/soak/faults.py
+++ b/testing/soak/faults.py
@@ -41,7 +41,7 @@
     ip = rng.choice([*soak.cluster.entry_ips, *soak.cluster.control_ips])
     async with soak.exclusive_access(ip):
         process = soak.cluster.processes[ip]
-        if platform_fixtures.handles_signals(process):
+        if platform_fixtures.handles_sighup(process):
             process.send_signal(signal.SIGHUP)
 
 
@@ -62,7 +62,10 @@
 
 
 async def lose_disk(soak, rng):
-    """Removes one member's disk; waits for three voters before the next."""
+    """Deletes one member's disk and waits until it is replaced.
+
+    Two disks are never lost at the same time.
+    """
     if soak.disk_repair_lock.locked():
         return
     ip = rng.choice(soak.cluster.control_ips)
--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -338,8 +338,8 @@
         assert await asyncio.to_thread(process.wait, EXIT_TIMEOUT_S) == 0
 
 
-async def read_events(session, address, body, max_events, last_event_id=None):
-    """Reads the events of a stream: all, or at least ``max_events``."""
+async def read_events(session, address, body, min_events, last_event_id=None):
+    """Reads a stream until ``min_events`` have arrived; None reads all."""
     headers = dict(CALLER_HEADERS)
     if last_event_id:
         headers["Last-Event-ID"] = last_event_id
@@ -356,7 +356,7 @@
                 for complete_event in complete_events
                 if not complete_event.startswith(b":")
             ]
-            if max_events is not None and len(events) >= max_events:
+            if min_events is not None and len(events) >= min_events:
                 return events
     return events
 
