--- a/testing/protocol_models.py
+++ b/testing/protocol_models.py
@@ -20,7 +20,8 @@
         role: Role of each node.
         votes: Voters for each candidate, as a frozen set.
         log: Entries of each node: terms, or (term, voters) with membership.
-        known: Length of the prefix that each leader has committed itself.
+        commit_length: Length of the prefix that each leader has committed
+            itself.
         committed: Longest prefix that any leader has committed.
         split: Whether two committed prefixes ever conflicted.
     """
@@ -30,7 +31,7 @@
     role: tuple
     votes: tuple
     log: tuple
-    known: tuple
+    commit_length: tuple
     committed: tuple
     split: bool
 
@@ -85,7 +86,7 @@
     return (entry_term(log[-1], bounds) if log else 0, len(log))
 
 
-def blank(node_count):
+def initial_state(node_count):
     """Returns the initial state."""
     return AgreementState(
         term=(0,) * node_count,
@@ -93,16 +94,16 @@
         role=(FOLLOWER,) * node_count,
         votes=(frozenset(),) * node_count,
         log=((),) * node_count,
-        known=(0,) * node_count,
+        commit_length=(0,) * node_count,
         committed=(),
         split=False,
     )
 
 
-def agreement(bounds=DEFAULT_BOUNDS, faults=NO_FAULTS, start=None):  # noqa: PLR0915
+def agreement_model(bounds=DEFAULT_BOUNDS, faults=NO_FAULTS, start=None):  # noqa: PLR0915
     """Returns the specification of election, commit and membership."""
     node_count = bounds.nodes
-    start = start or blank(node_count)
+    start = start or initial_state(node_count)
 
     def transitions(state_values):
         state = AgreementState(*state_values)
@@ -153,7 +154,7 @@
                 term=replace_at(state.term, j, term),
                 voted=replace_at(state.voted, j, i),
                 role=replace_at(state.role, j, FOLLOWER),
-                known=replace_at(state.known, j, 0),
+                commit_length=replace_at(state.commit_length, j, 0),
                 votes=replace_at(
                     replace_at(state.votes, j, frozenset()),
                     i,
@@ -173,7 +174,7 @@
             state._replace(
                 role=replace_at(state.role, i, LEADER),
                 votes=replace_at(state.votes, i, frozenset()),
-                known=replace_at(state.known, i, 0),
+                commit_length=replace_at(state.commit_length, i, 0),
             ),
         )
 
@@ -202,9 +203,10 @@
 
     def may_change(state, i):
         log = state.log[i]
-        known = state.known[i]
-        pending = any(entry[1] for entry in log[known:])
-        has_own_commit = known > 0  # a leader first commits an entry of its own
+        commit_length = state.commit_length[i]
+        pending = any(entry[1] for entry in log[commit_length:])
+        # A leader first commits an entry of its own term.
+        has_own_commit = commit_length > 0
         if pending and not faults.changes_two_at_once:
             return False
         return has_own_commit or faults.changes_before_own_commit
@@ -237,7 +239,7 @@
             else state.voted,
             role=replace_at(state.role, j, FOLLOWER),
             votes=replace_at(state.votes, j, frozenset()),
-            known=replace_at(state.known, j, 0),
+            commit_length=replace_at(state.commit_length, j, 0),
             log=replace_at(state.log, j, new_log),
         )
         if after != state:
@@ -264,7 +266,7 @@
             conflict = prefix[:common_length] != committed[:common_length]
             longest = prefix if len(prefix) > len(committed) else committed
             after = state._replace(
-                known=replace_at(state.known, i, size),
+                commit_length=replace_at(state.commit_length, i, size),
                 committed=longest,
                 split=state.split or conflict,
             )
@@ -278,7 +280,7 @@
         after = state._replace(
             role=replace_at(state.role, i, FOLLOWER),
             votes=replace_at(state.votes, i, frozenset()),
-            known=replace_at(state.known, i, 0),
+            commit_length=replace_at(state.commit_length, i, 0),
         )
         if faults.forgets_votes:
             after = after._replace(voted=replace_at(after.voted, i, -1))
@@ -316,15 +318,15 @@
         entry: State of each entry's attempt: ``idle``, ``asked``,
             ``granted``, ``sent``, ``told no``, ``told unknown``, ``told done``
             or ``dead``.
-        wire: Submitted commands, which may commit later or never.
-        flying: Sent attempts that may still reach the upstream.
+        submitted: Submitted commands, which may commit later or never.
+        in_transit: Sent attempts that may still reach the upstream.
         runs: Attempts that the upstream ran, in order.
     """
 
     record: object
     entry: tuple
-    wire: frozenset
-    flying: frozenset
+    submitted: frozenset
+    in_transit: frozenset
     runs: tuple
 
 
@@ -355,7 +357,7 @@
             yield from arrive(state, i)
             yield from answer(state, i)
             yield from die(state, i)
-        for command in state.wire:
+        for command in state.submitted:
             yield from late(state, command)
 
     def ask(state, i):
@@ -364,7 +366,7 @@
                 f"ask {i}",
                 state._replace(
                     entry=replace_at(state.entry, i, "asked"),
-                    wire=state.wire | {("begin", i)},
+                    submitted=state.submitted | {("begin", i)},
                 ),
             )
 
@@ -380,7 +382,7 @@
 
     def begin(state, i):
         """The begin command commits and the entry receives the outcome."""
-        if state.entry[i] != "asked" or ("begin", i) not in state.wire:
+        if state.entry[i] != "asked" or ("begin", i) not in state.submitted:
             return
         record, granted = apply_begin(state, i)
         step = "granted" if granted else "told done"
@@ -389,7 +391,7 @@
             state._replace(
                 record=record,
                 entry=replace_at(state.entry, i, step),
-                wire=state.wire - {("begin", i)},
+                submitted=state.submitted - {("begin", i)},
             ),
         )
 
@@ -402,7 +404,7 @@
             f"give up {i}",
             state._replace(
                 entry=replace_at(state.entry, i, step),
-                wire=state.wire | {("withdraw", i)},
+                submitted=state.submitted | {("withdraw", i)},
             ),
         )
 
@@ -421,7 +423,9 @@
                 record = ("done", i)
         yield (
             f"commit {kind} {i}",
-            state._replace(record=record, wire=state.wire - {command}),
+            state._replace(
+                record=record, submitted=state.submitted - {command}
+            ),
         )
 
     def send(state, i):
@@ -430,7 +434,7 @@
                 f"send {i}",
                 state._replace(
                     entry=replace_at(state.entry, i, "sent"),
-                    flying=state.flying | {i},
+                    in_transit=state.in_transit | {i},
                 ),
             )
 
@@ -441,16 +445,16 @@
                 f"never opened {i}",
                 state._replace(
                     entry=replace_at(state.entry, i, "told no"),
-                    wire=state.wire | {("withdraw", i)},
+                    submitted=state.submitted | {("withdraw", i)},
                 ),
             )
 
     def arrive(state, i):
-        if i in state.flying:
+        if i in state.in_transit:
             yield (
                 f"run {i}",
                 state._replace(
-                    flying=state.flying - {i}, runs=(*state.runs, i)
+                    in_transit=state.in_transit - {i}, runs=(*state.runs, i)
                 ),
             )
 
@@ -462,7 +466,7 @@
                 f"answer {i}",
                 state._replace(
                     entry=replace_at(state.entry, i, "told done"),
-                    wire=state.wire | {("finish", i)},
+                    submitted=state.submitted | {("finish", i)},
                 ),
             )
         loss_command = "withdraw" if faults.withdraws_lost else "lose"
@@ -471,7 +475,7 @@
             f"answer lost {i}",
             state._replace(
                 entry=replace_at(state.entry, i, step),
-                wire=state.wire | {(loss_command, i)},
+                submitted=state.submitted | {(loss_command, i)},
             ),
         )
 
@@ -512,7 +516,7 @@
     )
 
 
-def holds(protocol, max_states):
+def check_invariants(protocol, max_states):
     """Checks a protocol; returns (all hold, report, shortest trace)."""
     report = minicheck.check_safety(protocol, max_states=max_states)
     traces = [
@@ -523,4 +527,9 @@
     return not traces, report, min(traces, key=len, default=None)
 
 
-__all__ = ["agreement", "blank", "holds", "ledger_model"]
+__all__ = [
+    "agreement_model",
+    "initial_state",
+    "check_invariants",
+    "ledger_model",
+]
--- a/testing/soak/faults.py
+++ b/testing/soak/faults.py
@@ -126,6 +126,7 @@
         await soak.publish_config(repeat=True)
 
 
+# A fault that is listed twice is injected twice as often.
 ALL = (
     kill_entry,
     restart_entry,
--- a/testing/test_models.py
+++ b/testing/test_models.py
@@ -12,7 +12,9 @@
 
 
 def check_model(protocol):
-    invariants_hold, report, trace = protocol_models.holds(protocol, MAX_STATES)
+    invariants_hold, report, trace = protocol_models.check_invariants(
+        protocol, MAX_STATES
+    )
     assert report["exhaustive"], report
     return invariants_hold, trace
 
@@ -20,7 +22,7 @@
 class TestAgreementModel:
     def test_election_and_commit(self):
         invariants_hold, trace = check_model(
-            protocol_models.agreement(protocol_models.Bounds())
+            protocol_models.agreement_model(protocol_models.Bounds())
         )
         assert invariants_hold, trace
 
@@ -28,24 +30,28 @@
         bounds = protocol_models.Bounds(
             nodes=4, terms=2, members=True, crashes=False
         )
-        invariants_hold, trace = check_model(protocol_models.agreement(bounds))
+        invariants_hold, trace = check_model(
+            protocol_models.agreement_model(bounds)
+        )
         assert invariants_hold, trace
 
     @pytest.mark.parametrize("fault", ["forgets_votes", "ignores_log_on_votes"])
     def test_faulty_election_is_detected(self, fault):
         faults = protocol_models.Faults(**{fault: True})
         invariants_hold, _ = check_model(
-            protocol_models.agreement(protocol_models.Bounds(terms=2), faults)
+            protocol_models.agreement_model(
+                protocol_models.Bounds(terms=2), faults
+            )
         )
         assert not invariants_hold
 
     def test_commit_of_old_terms_is_detected(self):
-        start = protocol_models.blank(3)._replace(
+        start = protocol_models.initial_state(3)._replace(
             term=(1, 1, 1), voted=(0, 0, -1), log=((1,), (), ())
         )
         faults = protocol_models.Faults(commits_old_terms=True)
         invariants_hold, _ = check_model(
-            protocol_models.agreement(
+            protocol_models.agreement_model(
                 protocol_models.Bounds(terms=4), faults, start
             )
         )
@@ -53,12 +59,12 @@
 
     def test_two_changes_at_once_are_detected(self):
         one_entry_log = ((1, None),)
-        start = protocol_models.blank(4)._replace(
+        start = protocol_models.initial_state(4)._replace(
             term=(1, 1, 1, 1),
             voted=(0, 0, 0, -1),
             role=(protocol_models.LEADER, "F", "F", "F"),
             log=(one_entry_log, one_entry_log, one_entry_log, ()),
-            known=(1, 0, 0, 0),
+            commit_length=(1, 0, 0, 0),
             committed=one_entry_log,
         )
         bounds = protocol_models.Bounds(
@@ -66,7 +72,7 @@
         )
         faults = protocol_models.Faults(changes_two_at_once=True)
         invariants_hold, _ = check_model(
-            protocol_models.agreement(bounds, faults, start)
+            protocol_models.agreement_model(bounds, faults, start)
         )
         assert not invariants_hold
 
