--- a/testing/platform_fixtures.py
+++ b/testing/platform_fixtures.py
@@ -128,7 +128,7 @@
             return 0, str(error).encode()
 
     async def call_control(self, method, path, body=None, only_ip=None):
-        """Calls control processes in turn until one answers, but not 503."""
+        """Calls control processes in turn until one gives a non-503 status."""
 
         async def attempt_call():
             for ip in [only_ip] if only_ip else self.control_ips:
