--- a/bench/control.py
+++ b/bench/control.py
@@ -34,7 +34,7 @@
 
 
 async def measure_commits(seconds=3.0):
-    """Synced commits per second and latencies, by number of writers."""
+    """Synced commits per second, p50 and p99, by number of writers."""
     process_group = harness.ProcessGroup()
     results = []
     try:
