--- a/src/_arbutuswalk/base/events.py
+++ b/src/_arbutuswalk/base/events.py
@@ -17,13 +17,13 @@
     PROCESS_STARTED = (100, "started role=%s id=%s address=%s")
     PROCESS_DRAINING = (101, "draining role=%s id=%s")
     PROCESS_STOPPED = (102, "stopped role=%s id=%s")
-    STATE_DUMPED = (103, "state dumped to %s")
+    STATE_DUMPED = (103, "state dump written to %s")
     TASK_FAILED = (104, "background task failed name=%s error=%s")
     LINK_OPENED = (200, "link opened to=%s")
     LINK_REPLACED = (201, "link replaced to=%s reason=%s")
     FRAME_REFUSED = (202, "frame refused from=%s reason=%s")
     LOG_RECOVERED = (300, "log recovered first=%s last=%s snapshot=%s")
-    LOG_TAIL_CUT = (301, "torn log tail cut file=%s offset=%s")
+    LOG_TAIL_CUT = (301, "torn log tail truncated file=%s offset=%s")
     STORAGE_FAILED = (302, "storage failed: %s")
     SNAPSHOT_WRITTEN = (303, "snapshot written index=%s bytes=%s")
     TERM_CHANGED = (400, "term=%s role=%s leader=%s")
@@ -44,7 +44,7 @@
     STREAM_CONTINUED = (606, "stream continued request=%s upstream=%s at=%s")
     REQUEST_REFUSED = (607, "request refused request=%s reason=%s")
     CALL_UNKNOWN = (608, "call outcome unknown key=%s upstream=%s")
-    COPY_ADOPTED = (609, "request copy adopted request=%s owner=%s")
+    COPY_ADOPTED = (609, "request copy taken over request=%s owner=%s")
     VERSION_CUT_OFF = (610, "version cut off upstream=%s version=%s route=%s")
     ANNOUNCE_REFUSED = (611, "announcement refused id=%s reason=%s")
 
@@ -53,7 +53,7 @@
         "endpoint changed id=%s upstream=%s version=%s state=%s born=%s"
         " sequence=%s address=%s",
     )
-    ENDPOINT_FORGOTTEN = (651, "endpoint forgotten id=%s")
+    ENDPOINT_FORGOTTEN = (651, "endpoint removed id=%s")
     ROUTES_IN_FORCE = (653, "routes in force version=%s before=%s source=%s")
     ANSWERED = (
         654,
@@ -75,13 +75,16 @@
         "attempt ended request=%s endpoint=%s outcome=%s reason=%s ms=%s",
     )
     RESUMED = (658, "stream resumed request=%s endpoint=%s after=%s")
-    CALLER_LEFT = (659, "caller left request=%s route=%s endpoint=%s ms=%s")
+    CALLER_LEFT = (
+        659,
+        "caller disconnected request=%s route=%s endpoint=%s ms=%s",
+    )
     BROKEN_OFF = (
         660,
-        "answer broken off request=%s route=%s endpoint=%s reason=%s ms=%s",
+        "answer aborted request=%s route=%s endpoint=%s reason=%s ms=%s",
     )
-    CONTROL_LOST = (661, "control lost address=%s reason=%s")
-    CONTROL_FOUND = (662, "control found address=%s term=%s")
+    CONTROL_LOST = (661, "control connection lost address=%s reason=%s")
+    CONTROL_FOUND = (662, "control connection established address=%s term=%s")
     DUTY_CALL = (
         663,
         "duty call duty=%s subject=%s fence=%s value=%s outcome=%s",
@@ -91,13 +94,16 @@
         "rollout stepped upstream=%s target=%s state=%s share=%s reason=%s",
     )
     OPERATOR_CALL = (665, "operator call name=%s outcome=%s detail=%s")
-    ENDPOINT_SUSPECT = (666, "endpoint suspect id=%s reason=%s")
+    ENDPOINT_SUSPECT = (666, "endpoint suspected id=%s reason=%s")
     SETTINGS_RELOADED = (667, "settings reloaded outcome=%s")
-    DISK_REFUSED = (668, "disk refused a write reason=%s")
-    ANNOUNCEMENT_BAD = (669, "announcement unreadable id=%s reason=%s")
-    DEATH_NOTED = (670, "death noted request=%s endpoint=%s")
-    ROUTES_UNREADABLE = (671, "routes unreadable address=%s reason=%s")
-    ENDPOINTS_UNREADABLE = (672, "endpoints unreadable reason=%s")
+    DISK_REFUSED = (668, "disk write failed reason=%s")
+    ANNOUNCEMENT_BAD = (669, "announcement invalid id=%s reason=%s")
+    DEATH_NOTED = (670, "endpoint crash recorded request=%s endpoint=%s")
+    ROUTES_UNREADABLE = (
+        671,
+        "routes could not be decoded address=%s reason=%s",
+    )
+    ENDPOINTS_UNREADABLE = (672, "endpoint cache could not be read reason=%s")
 
     @property
     def number(self) -> int:
