--- a/src/_arbutuswalk/entry/at_most_once.py
+++ b/src/_arbutuswalk/entry/at_most_once.py
@@ -56,7 +56,9 @@
     try:
         outcome = await _commit_and_send(entry, call, digest)
     except BaseException:
-        outcome = _unknown("the entry stopped while running the call")
+        outcome = _unknown_outcome_problem(
+            "the entry stopped while running the call"
+        )
         raise
     finally:
         del entry.running_calls[scoped_key]
@@ -75,7 +77,7 @@
             entry, call, frozenset(avoid)
         )
         if row is None:
-            return _not_run("no upstream is up")
+            return _not_run_problem("no upstream is up")
         attempt = uuid.uuid4().hex
         asked_at = entry.now()
         granted = await entry.control.submit(
@@ -83,18 +85,18 @@
             timeout_s=min(COMMIT_TIMEOUT_S, call.deadline - asked_at),
         )
         if not isinstance(granted, outcomes.Granted):
-            return await _not_granted(entry, call, attempt, granted)
+            return await _answer_ungranted(entry, call, attempt, granted)
         if entry.now() - asked_at > MAX_GRANT_AGE_S:
             _withdraw_in_background(entry, call, attempt)
-            return _not_run("the intent was committed too late")
+            return _not_run_problem("the intent was committed too late")
         outcome = await _send(entry, call, attempt, row)
         if outcome is not None:
             return outcome
         avoid.add(row.key)
-    return _not_run("no connection to an upstream opened")
+    return _not_run_problem("no connection to an upstream opened")
 
 
-async def _not_granted(
+async def _answer_ungranted(
     entry: entry_state.Entry,
     call: service_routes.ServiceCall,
     attempt: str,
@@ -107,8 +109,8 @@
     if isinstance(outcome, control_client.Unreachable):
         # The intent may still be committed, but the call is never sent.
         _withdraw_in_background(entry, call, attempt)
-        return _not_run("the control group did not answer")
-    return _not_run("the entry has to register again")
+        return _not_run_problem("the control group did not answer")
+    return _not_run_problem("the entry has to register again")
 
 
 async def _send(
@@ -153,7 +155,7 @@
     outcome = await entry.control.submit(command, timeout_s=COMMIT_TIMEOUT_S)
     if isinstance(outcome, control_client.Unreachable):
         _record_in_background(entry, command)
-        return _not_run("no connection to the upstream opened")
+        return _not_run_problem("no connection to the upstream opened")
     return None
 
 
@@ -175,7 +177,7 @@
     _record_in_background(
         entry, commands.LoseCall(call.workspace, call.key, attempt)
     )
-    return _unknown("the answer was lost on the way")
+    return _unknown_outcome_problem("the answer was lost on the way")
 
 
 async def query_status_route(
@@ -229,10 +231,10 @@
             timeout_s=COMMIT_TIMEOUT_S,
         )
         if not isinstance(reply, dict):
-            return _unknown("the control group did not answer")
+            return _unknown_outcome_problem("the control group did not answer")
         new_state = outcomes.decode(reply)
         if not isinstance(new_state, outcomes.CallState):
-            return _not_run("the call was withdrawn; send it again")
+            return _not_run_problem("the call was withdrawn; send it again")
         state = new_state
     if state.state == "unknown":
         reply = await query_status_route(
@@ -255,7 +257,9 @@
         return answer.Problem(
             504, "still running", "ask again with the same key", "yes", 1
         )
-    return _unknown("the outcome of the first sending is not known")
+    return _unknown_outcome_problem(
+        "the outcome of the first sending is not known"
+    )
 
 
 def reused_problem() -> answer.Problem:
@@ -338,11 +342,11 @@
         await asyncio.sleep(RECORD_RETRY_INTERVAL_S)
 
 
-def _not_run(detail: str) -> answer.Problem:
+def _not_run_problem(detail: str) -> answer.Problem:
     return answer.Problem(503, "not run", detail, "no", placement.RETRY_AFTER_S)
 
 
-def _unknown(detail: str) -> answer.Problem:
+def _unknown_outcome_problem(detail: str) -> answer.Problem:
     return answer.Problem(
         504,
         "outcome unknown",
--- a/src/_arbutuswalk/entry/crash_quarantine.py
+++ b/src/_arbutuswalk/entry/crash_quarantine.py
@@ -125,7 +125,7 @@
         if request is not None:
             fingerprints.add(request.fingerprint)
     entry.local_suspects |= fingerprints
-    peer_updates.tell_others(
+    peer_updates.send_to_peers(
         entry,
         {"kind": peer_updates.SUSPECTS, "fingerprints": sorted(fingerprints)},
     )
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -163,7 +163,9 @@
     """Runs the attempt, or stops it once a move was requested."""
     entry, request = state.entry, state.request
     attempt = asyncio.ensure_future(
-        attempts.run(_order(state, row), _attempt_deadlines(entry), on_events)
+        attempts.run(
+            _make_order(state, row), _attempt_deadlines(entry), on_events
+        )
     )
     move = asyncio.ensure_future(request.move_requested.wait())
     try:
@@ -181,7 +183,7 @@
             await asyncio.gather(attempt, return_exceptions=True)
 
 
-def _order(state: RunState, row: upstreams.Row) -> attempts.Order:
+def _make_order(state: RunState, row: upstreams.Row) -> attempts.Order:
     request = state.request
     body = {**request.body, "stream": True}
     if request.answer.events:
@@ -221,7 +223,7 @@
     events.log(events.Event.ATTEMPT_FAILED, request.request_id, row.key, reason)
     entry.metrics.count("attempts_failed", f'kind="{type(result).__name__}"')
     _add_to_history(state, f"ended by {type(result).__name__}")
-    died, blamed = await _look_for_death(state, row, result)
+    died, blamed = await _report_if_dead(state, row, result)
     if not died and request.fingerprint in row.unconfirmed_crashes:
         row.unconfirmed_crashes.discard(request.fingerprint)
         row.survived_at[request.fingerprint] = entry.now()
@@ -265,7 +267,7 @@
         )
 
 
-async def _look_for_death(
+async def _report_if_dead(
     state: RunState, row: upstreams.Row, result: attempts.Result
 ) -> tuple[bool, str]:
     """Reports an unannounced death.
--- a/src/_arbutuswalk/entry/peer_updates.py
+++ b/src/_arbutuswalk/entry/peer_updates.py
@@ -11,7 +11,7 @@
 SUSPECTS = "suspects"
 
 
-def tell_others(entry: entry_state.Entry, update: dict[str, Any]) -> None:
+def send_to_peers(entry: entry_state.Entry, update: dict[str, Any]) -> None:
     """Sends an update to every other entry."""
     message = ttypes.UpstreamNews(announcements=[json.dumps(update).encode()])
     for peer in entry.peers.values():
--- a/src/_arbutuswalk/entry/upstream_announcements.py
+++ b/src/_arbutuswalk/entry/upstream_announcements.py
@@ -50,7 +50,7 @@
             )
             detail = f"{announcement['id']} is {refused.reason}"
             return _problem_response("announcement refused", detail, 409)
-        peer_updates.tell_others(
+        peer_updates.send_to_peers(
             entry,
             {
                 "kind": peer_updates.ANNOUNCEMENT,
@@ -75,7 +75,7 @@
             detail = "give id, incarnation, sequence, stored and removed"
             return _problem_response("bad cache event", detail, 400)
         _apply_cache_event(entry, event)
-        peer_updates.tell_others(
+        peer_updates.send_to_peers(
             entry, {"kind": peer_updates.CACHE_EVENT, "event": event}
         )
         return responses.JSONResponse({})
--- a/src/_arbutuswalk/relay/attempts.py
+++ b/src/_arbutuswalk/relay/attempts.py
@@ -18,7 +18,7 @@
 STALL_TIMEOUT_S = 1.0
 """Time without data after which a stream is resumed at another endpoint: half
 of the shortest time after which callers abandon a stream."""
-MAX_WHOLE_BYTES = 8 * 1024 * 1024
+MAX_BUFFERED_ANSWER_BYTES = 8 * 1024 * 1024
 """Largest answer that is buffered completely: a tenth of the memory that a
 process may use on the smallest instances in addition to its own 30 MB."""
 LOWEST_PRIORITY = 9
@@ -147,8 +147,10 @@
         while True:
             body += self.exchange.take_body()
             connection.resume_reading()
-            if len(body) > MAX_WHOLE_BYTES:
-                return self._record_lost(f"answer over {MAX_WHOLE_BYTES} bytes")
+            if len(body) > MAX_BUFFERED_ANSWER_BYTES:
+                return self._record_lost(
+                    f"answer over {MAX_BUFFERED_ANSWER_BYTES} bytes"
+                )
             if self.exchange.ended:
                 break
             early_result = await self._wait_for_progress(deadline)
--- a/src/_arbutuswalk/streams/connection.py
+++ b/src/_arbutuswalk/streams/connection.py
@@ -126,7 +126,7 @@
         self.transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            sockets.detect_silence(sock)
+            sockets.set_options(sock)
 
     def send_request(self, data: bytes, exchange: Exchange) -> None:
         """Sends a request; its response is stored in ``exchange``."""
--- a/src/_arbutuswalk/wire/compressed_json.py
+++ b/src/_arbutuswalk/wire/compressed_json.py
@@ -11,7 +11,7 @@
 COMPRESSION_LEVEL = 1
 """The fastest level: a third more bytes than the highest level, in a fifth of
 the time."""
-MAX_BYTES = 64 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 """Largest decompressed message: a quarter of a process's memory."""
 
 
@@ -28,9 +28,9 @@
     """
     decompressor = zlib.decompressobj()
     try:
-        text = decompressor.decompress(data, MAX_BYTES)
+        text = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise ValueError(str(error)) from error
     if not decompressor.eof:
-        raise ValueError(f"incomplete, or over {MAX_BYTES} bytes")
+        raise ValueError(f"incomplete, or over {MAX_DECOMPRESSED_BYTES} bytes")
     return json.loads(text)
--- a/src/_arbutuswalk/wire/link.py
+++ b/src/_arbutuswalk/wire/link.py
@@ -1,6 +1,6 @@
 """Framed links: calls with timeouts, one-way messages, heartbeats.
 
-A link on which nothing arrives for longer than ``SILENCE_LIMIT_S`` is closed,
+A link on which nothing arrives for longer than ``SILENCE_TIMEOUT_S`` is closed,
 and its unanswered calls fail at once. The next message opens a new connection.
 """
 
@@ -15,8 +15,8 @@
 from _arbutuswalk.wire import sockets
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-HEARTBEAT_S = 0.5
-SILENCE_LIMIT_S = 2.0
+HEARTBEAT_INTERVAL_S = 0.5
+SILENCE_TIMEOUT_S = 2.0
 CONNECT_TIMEOUTS_S = (0.25, 0.5, 1.0)
 """Connect timeouts by the number of failed attempts before. The kernel resends
 a lost first packet only after 1 s; a new attempt is quicker to reach an
@@ -117,7 +117,7 @@
                     asyncio.open_connection(host, int(port)),
                     self._connect_timeout_s(),
                 )
-                sockets.detect_silence(writer.get_extra_info("socket"))
+                sockets.set_options(writer.get_extra_info("socket"))
             except (TimeoutError, OSError, ValueError) as error:
                 # The connection may be lost before its socket options are set,
                 # and an address given by another process may be invalid.
@@ -172,9 +172,9 @@
     async def _send_heartbeats(self, writer: asyncio.StreamWriter) -> None:
         while self.writer is writer:
             writer.write(codec.encode(0, ttypes.Ping(), reply=False))
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             silent_s = self.now() - self.last_received_at
-            if self.writer is writer and silent_s > SILENCE_LIMIT_S:
+            if self.writer is writer and silent_s > SILENCE_TIMEOUT_S:
                 events.log(events.Event.LINK_REPLACED, self.address, "silent")
                 self.close("silent")
 
@@ -238,7 +238,7 @@
     ) -> None:
         self.writers.add(writer)
         try:
-            sockets.detect_silence(writer.get_extra_info("socket"))
+            sockets.set_options(writer.get_extra_info("socket"))
             while True:
                 decoded = await read_frame(reader)
                 if decoded is None:
--- a/src/_arbutuswalk/wire/sockets.py
+++ b/src/_arbutuswalk/wire/sockets.py
@@ -10,7 +10,7 @@
 KEEPALIVE_PROBE_COUNT = 2
 
 
-def detect_silence(sock: socket.socket) -> None:
+def set_options(sock: socket.socket) -> None:
     """Makes the kernel abort a connection whose peer does not respond."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/testing/test_crash_quarantine.py
+++ b/testing/test_crash_quarantine.py
@@ -104,7 +104,7 @@
         sent_updates = []
         monkeypatch.setattr(
             peer_updates,
-            "tell_others",
+            "send_to_peers",
             lambda entry, update: sent_updates.append(update),
         )
         entry = entries[0]
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -56,7 +56,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch):
-    monkeypatch.setattr(config_fetch, "PAUSE_S", 0.0)
+    monkeypatch.setattr(config_fetch, "RETRY_PAUSE_S", 0.0)
 
 
 class TestFetch:
@@ -140,6 +140,6 @@
             compressed_json.decode(data)
 
     def test_data_over_the_size_limit_is_rejected(self, monkeypatch):
-        monkeypatch.setattr(compressed_json, "MAX_BYTES", 100)
+        monkeypatch.setattr(compressed_json, "MAX_DECOMPRESSED_BYTES", 100)
         with pytest.raises(ValueError, match="over 100 bytes"):
             compressed_json.decode(compressed_json.encode("x" * 1000))
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -136,9 +136,9 @@
         async def send_ungranted(entry, call, attempt, outcome):
             row = next(iter(entry.upstreams.rows.values()))
             sent = await at_most_once._send(entry, call, attempt, row)
-            return sent or at_most_once._not_run("never opened")
+            return sent or at_most_once._not_run_problem("never opened")
 
-        monkeypatch.setattr(at_most_once, "_not_granted", send_ungranted)
+        monkeypatch.setattr(at_most_once, "_answer_ungranted", send_ungranted)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
@@ -148,6 +148,10 @@
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_call_with_unknown_outcome_reported_as_not_run(self, monkeypatch):
-        monkeypatch.setattr(at_most_once, "_unknown", at_most_once._not_run)
+        monkeypatch.setattr(
+            at_most_once,
+            "_unknown_outcome_problem",
+            at_most_once._not_run_problem,
+        )
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
--- a/testing/test_platform_front.py
+++ b/testing/test_platform_front.py
@@ -228,11 +228,11 @@
 
 
 class TestDrain:
-    """Drain of an entry, with ``LINGER_S`` set to zero."""
+    """Drain of an entry, with ``DRAIN_ACCEPT_S`` set to zero."""
 
     @pytest.fixture(autouse=True)
-    def no_linger(self, monkeypatch):
-        monkeypatch.setattr(entry, "LINGER_S", 0.0)
+    def no_accept_period(self, monkeypatch):
+        monkeypatch.setattr(entry, "DRAIN_ACCEPT_S", 0.0)
 
     def start_drain(self, running_entry):
         return asyncio.ensure_future(
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -81,7 +81,7 @@
     async def test_an_answer_over_the_buffer_limit_is_a_failure(
         self, monkeypatch
     ):
-        monkeypatch.setattr(attempts, "MAX_WHOLE_BYTES", 1000)
+        monkeypatch.setattr(attempts, "MAX_BUFFERED_ANSWER_BYTES", 1000)
         relay = relay_fixtures.make_relay()
         endpoints = [
             relay_fixtures.ScriptedEndpoint(
--- a/testing/test_streams.py
+++ b/testing/test_streams.py
@@ -20,14 +20,16 @@
     """Faults that the state machine has to detect."""
 
     def test_continuation_that_restarts_is_detected(self, monkeypatch):
-        original_order = execution._order
+        original_order = execution._make_order
 
         def order_without_continuation(state, row):
             order = original_order(state, row)
             order.body.pop("continue_from", None)
             return order
 
-        monkeypatch.setattr(execution, "_order", order_without_continuation)
+        monkeypatch.setattr(
+            execution, "_make_order", order_without_continuation
+        )
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
@@ -45,7 +47,7 @@
             blamed = await crash_quarantine.report_death(state.entry, row)
             return True, blamed
 
-        monkeypatch.setattr(execution, "_look_for_death", report_all)
+        monkeypatch.setattr(execution, "_report_if_dead", report_all)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(stream_machine.StreamMachine)
 
--- a/testing/test_wire.py
+++ b/testing/test_wire.py
@@ -140,7 +140,7 @@
         def fail(_):
             raise OSError(9, "Bad file descriptor")
 
-        monkeypatch.setattr(link.sockets, "detect_silence", fail)
+        monkeypatch.setattr(link.sockets, "set_options", fail)
         reply = await client.call(ttypes.Dump(), timeout_s=1)
         assert isinstance(reply, link.LinkDown)
 
@@ -173,8 +173,8 @@
         writer.close()
 
     async def test_silent_connection_is_replaced(self, monkeypatch):
-        monkeypatch.setattr(link, "HEARTBEAT_S", 0.02)
-        monkeypatch.setattr(link, "SILENCE_LIMIT_S", 0.1)
+        monkeypatch.setattr(link, "HEARTBEAT_INTERVAL_S", 0.02)
+        monkeypatch.setattr(link, "SILENCE_TIMEOUT_S", 0.1)
         address = free_address()
         host, _, port = address.rpartition(":")
 
