--- a/src/_arbutuswalk/relay/admission.py
+++ b/src/_arbutuswalk/relay/admission.py
@@ -40,7 +40,7 @@
         body: Complete body.
         prompt: Prompt of a model request, None for other requests.
         last_event: Id of the last event that the caller has, or empty.
-        came_at: When it was read, in seconds.
+        received_at: When it was read, in seconds.
     """
 
     id: str
@@ -54,7 +54,7 @@
     body: bytes
     prompt: requests.Prompt | None
     last_event: str
-    came_at: float
+    received_at: float
 
 
 class Refusal(NamedTuple):
@@ -104,9 +104,9 @@
     route: routeconfig.Route,
     workspace: routeconfig.Workspace | None,
 ) -> requests.Request:
-    waits_s = incoming.deadline_s
-    if waits_s is None:
-        waits_s = DEFAULT_DEADLINE_S
+    caller_deadline_s = incoming.deadline_s
+    if caller_deadline_s is None:
+        caller_deadline_s = DEFAULT_DEADLINE_S
     return requests.Request(
         id=incoming.id,
         method=incoming.method,
@@ -116,9 +116,9 @@
         route=route,
         upstream=routetable.pick_target(route, relay.rng),
         workspace=workspace,
-        came_at=incoming.came_at,
-        deadline=incoming.came_at + min(waits_s, route.timeout_s),
-        waits_s=waits_s,
+        received_at=incoming.received_at,
+        deadline=incoming.received_at + min(caller_deadline_s, route.timeout_s),
+        caller_deadline_s=caller_deadline_s,
         prompt=incoming.prompt,
         last_event=incoming.last_event,
         fingerprint=crashes.fingerprint(
--- a/src/_arbutuswalk/relay/lateness.py
+++ b/src/_arbutuswalk/relay/lateness.py
@@ -36,7 +36,12 @@
         """Returns whether the route's latency objective is already missed."""
         route = request.route
         longest_deadline_s = self.longest_deadline_s.get(
-            route.name, request.waits_s
+            route.name, request.caller_deadline_s
+        )
+        waited_s = (
+            longest_deadline_s
+            - request.caller_deadline_s
+            + now
+            - request.received_at
         )
-        waited_s = longest_deadline_s - request.waits_s + now - request.came_at
         return 0 < route.objective_s < waited_s
--- a/src/_arbutuswalk/relay/relaying.py
+++ b/src/_arbutuswalk/relay/relaying.py
@@ -98,11 +98,11 @@
     endpoint_id: str,
 ) -> None:
     request = caller_delivery.request
-    took_ms = round((relay.now() - request.came_at) * 1000)
+    took_ms = round((relay.now() - request.received_at) * 1000)
     route = request.route.name
     if isinstance(result, results.Delivered):
         first_ms = round(
-            (caller_delivery.first_event_at - request.came_at) * 1000
+            (caller_delivery.first_event_at - request.received_at) * 1000
         )
         _record_answer(
             relay, request, endpoint_id, 200, tally, took_ms, first_ms
@@ -169,7 +169,7 @@
         status,
         reason,
         route=request.route.name,
-        elapsed_s=relay.now() - request.came_at,
+        elapsed_s=relay.now() - request.received_at,
     )
     await caller_delivery.send_local_answer(
         *problem_answer(status, reason, retry_after_s)
@@ -221,7 +221,7 @@
 def _record_caller_left(
     relay: relay_state.Relay, request: requests.Request, endpoint_id: str
 ) -> None:
-    took_ms = round((relay.now() - request.came_at) * 1000)
+    took_ms = round((relay.now() - request.received_at) * 1000)
     relay.metrics.count("callers_left")
     events.record(
         events.Event.CALLER_LEFT,
--- a/src/_arbutuswalk/relay/request.py
+++ b/src/_arbutuswalk/relay/request.py
@@ -43,10 +43,10 @@
         route: Route that matched.
         upstream: Upstream drawn by the weights of the route.
         workspace: Workspace of the caller, None on an anonymous route.
-        came_at: When it was read, in seconds.
+        received_at: When it was read, in seconds.
         deadline: Earlier of the caller's deadline and the route's time-out, in
             seconds.
-        waits_s: Time the caller waits after ``came_at``.
+        caller_deadline_s: Time the caller waits after ``received_at``.
         prompt: Prompt of a model request, None for other requests.
         last_event: Id of the last event that the caller has, or empty.
         fingerprint: Digest that identifies it when it is sent again.
@@ -60,9 +60,9 @@
     route: routeconfig.Route
     upstream: str
     workspace: routeconfig.Workspace | None
-    came_at: float
+    received_at: float
     deadline: float
-    waits_s: float
+    caller_deadline_s: float
     prompt: Prompt | None
     last_event: str
     fingerprint: str
--- a/testing/test_crashes.py
+++ b/testing/test_crashes.py
@@ -90,7 +90,7 @@
             body=b"poison",
             prompt=None,
             last_event="",
-            came_at=relay.now(),
+            received_at=relay.now(),
         )
         admitted = admission.admit(relay, incoming)
         relay.refused_fingerprints = frozenset([admitted.fingerprint])
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -60,7 +60,9 @@
         relay = relay_fixtures.make_relay()
         endpoint = relay_fixtures.ScriptedEndpoint()
         now = relay.now()
-        await relay_to(relay, endpoint, came_at=now - 0.5, deadline=now + 0.5)
+        await relay_to(
+            relay, endpoint, received_at=now - 0.5, deadline=now + 0.5
+        )
         line = next(
             line
             for line in endpoint.request_heads[0].split("\r\n")
