--- a/src/_arbutuswalk/state/commands.py
+++ b/src/_arbutuswalk/state/commands.py
@@ -42,7 +42,7 @@
 
 
 class BeginCall(NamedTuple):
-    """Records the intent to send a non-repeatable call."""
+    """Records the intent to send a non-idempotent call."""
 
     workspace: str
     key: str
--- a/src/_arbutuswalk/state/inventory.py
+++ b/src/_arbutuswalk/state/inventory.py
@@ -326,7 +326,7 @@
 
 
 def list_routes(upstream: Upstream) -> list[tuple[str, bool]]:
-    """Returns (name, repeatable) of every route of an upstream."""
+    """Returns (name, idempotent) of every route of an upstream."""
     if upstream["kind"] == "model":
         return [(name, True) for name in MODEL_ROUTES]
     return [
--- a/src/_arbutuswalk/state/ledger.py
+++ b/src/_arbutuswalk/state/ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of non-repeatable calls: each runs at most once.
+"""The ledger of non-idempotent calls: each runs at most once.
 
 An intent is committed before an entry sends the first byte of a call. After
 that no entry sends the call again: a resend gets the recorded response, or
--- a/src/_arbutuswalk/state/move_policy.py
+++ b/src/_arbutuswalk/state/move_policy.py
@@ -1,7 +1,7 @@
 """Decides the steps of version moves from the entries' reports.
 
 The traffic share of a new version grows route by route with the evidence for
-it; non-repeatable routes start last and grow slowest. A move is taken back as
+it; non-idempotent routes start last and grow slowest. A move is taken back as
 soon as the evidence against it reaches a threshold, or if the evidence for it
 is insufficient at its deadline.
 """
@@ -16,12 +16,12 @@
 from _arbutuswalk.state import moves
 from _arbutuswalk.state import tables as rows
 
-REPEATABLE_STEPS_PER_MILLE = (20, 50, 100, 250, 500, 1000)
-"""Successive shares of repeatable routes."""
-NON_REPEATABLE_STEPS_PER_MILLE = (10, 20, 50, 100, 200, 350, 500, 1000)
-"""Successive shares of non-repeatable routes."""
-MIN_REPEATABLE_SHARE_PER_MILLE = 500
-"""Share that every repeatable route must have before non-repeatable ones
+IDEMPOTENT_STEPS_PER_MILLE = (20, 50, 100, 250, 500, 1000)
+"""Successive shares of idempotent routes."""
+NON_IDEMPOTENT_STEPS_PER_MILLE = (10, 20, 50, 100, 200, 350, 500, 1000)
+"""Successive shares of non-idempotent routes."""
+MIN_IDEMPOTENT_SHARE_PER_MILLE = 500
+"""Share that every idempotent route must have before non-idempotent ones
 start."""
 OBSERVATION_MS = 2000
 """Time for which a route is observed before its first share is chosen."""
@@ -34,7 +34,7 @@
 LOG_EVIDENCE_THRESHOLD = math.log(1000)
 """Log evidence at which a version is taken back. Each test takes back at most
 one good version in a thousand."""
-NON_REPEATABLE_OUTCOMES_FACTOR = 2
+NON_IDEMPOTENT_OUTCOMES_FACTOR = 2
 
 
 class RouteTrial:
@@ -67,12 +67,12 @@
     Attributes:
         allowed_ms: Time per step that lets all steps end by the deadline.
         elapsed_ms: Time since the last step.
-        repeatable: Whether requests of the route may be repeated.
+        idempotent: Whether requests of the route may be repeated.
     """
 
     allowed_ms: float
     elapsed_ms: int
-    repeatable: bool
+    idempotent: bool
 
 
 class MoveTrials:
@@ -215,20 +215,20 @@
     """Raises the share of every route whose next step is due."""
     shares = dict(row.shares)
     routes = inventories.list_routes(upstream)
-    repeatable_shares = [
-        row.shares[name] for name, repeatable in routes if repeatable
+    idempotent_shares = [
+        row.shares[name] for name, idempotent in routes if idempotent
     ]
-    for name, repeatable in routes:
+    for name, idempotent in routes:
         if (
-            not repeatable
-            and min(repeatable_shares, default=1000)
-            < MIN_REPEATABLE_SHARE_PER_MILLE
+            not idempotent
+            and min(idempotent_shares, default=1000)
+            < MIN_IDEMPOTENT_SHARE_PER_MILLE
         ):
             continue
         steps = (
-            REPEATABLE_STEPS_PER_MILLE
-            if repeatable
-            else NON_REPEATABLE_STEPS_PER_MILLE
+            IDEMPOTENT_STEPS_PER_MILLE
+            if idempotent
+            else NON_IDEMPOTENT_STEPS_PER_MILLE
         )
         trial = trials.routes[move, name]
         remaining_steps = [share for share in steps if share > row.shares[name]]
@@ -238,7 +238,7 @@
             allowed_ms=_growth_time_left_ms(upstream, row, now_ms)
             / (len(remaining_steps) + 1),
             elapsed_ms=now_ms - trial.last_step_ms,
-            repeatable=repeatable,
+            idempotent=idempotent,
         )
         if not row.shares[name]:
             shares[name] = _first_share(trial, timing, steps, now_ms)
@@ -308,11 +308,11 @@
     """Returns whether the evidence permits the next step of a route.
 
     A route may step as soon as it has ``SUFFICIENT_OUTCOMES``, twice as many
-    if it is non-repeatable, or at the end of the time per step if it has at
+    if it is non-idempotent, or at the end of the time per step if it has at
     least ``MIN_OUTCOMES``. A route without traffic steps by time alone, as it
     affects no caller.
     """
-    factor = 1 if timing.repeatable else NON_REPEATABLE_OUTCOMES_FACTOR
+    factor = 1 if timing.idempotent else NON_IDEMPOTENT_OUTCOMES_FACTOR
     if trial.succeeded_in_step >= SUFFICIENT_OUTCOMES * factor:
         return True
     if timing.elapsed_ms < timing.allowed_ms:
--- a/src/_arbutuswalk/state/tables.py
+++ b/src/_arbutuswalk/state/tables.py
@@ -35,7 +35,7 @@
 
 
 class CallRow(NamedTuple):
-    """A non-repeatable call.
+    """A non-idempotent call.
 
     Attributes:
         state: ``running``, ``done`` or ``unknown``.
@@ -168,7 +168,7 @@
         history: Accepted configurations, oldest first.
         versions: Version before any active move, by upstream name.
         entries: Entries by id.
-        calls: Non-repeatable calls by ``workspace`` + newline + ``key``.
+        calls: Non-idempotent calls by ``workspace`` + newline + ``key``.
         withdrawn: Log time at which an attempt was withdrawn, by attempt.
         suspects: Suspect requests by fingerprint.
         isolations: Reservations by upstream id.
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -1,4 +1,4 @@
-"""Ledger of non-repeatable calls: each call runs at most once."""
+"""Ledger of non-idempotent calls: each call runs at most once."""
 
 import ledger_machine
 import pytest
--- a/testing/test_moves.py
+++ b/testing/test_moves.py
@@ -164,7 +164,7 @@
         simulation.run(DEADLINE_S)
         assert simulation.last_move().state == "done", simulation.last_move()
 
-    def test_non_repeatable_routes_wait_for_the_others(self):
+    def test_non_idempotent_routes_wait_for_the_others(self):
         simulation = MoveSimulation("claims")
         simulation.apply(claims="v2")
         simulation.available_versions.add(("claims", "v2"))
@@ -173,7 +173,7 @@
             shares = simulation.last_move().shares
             if shares["claim"]:
                 break
-        assert shares["lots"] >= move_policy.MIN_REPEATABLE_SHARE_PER_MILLE
+        assert shares["lots"] >= move_policy.MIN_IDEMPOTENT_SHARE_PER_MILLE
         assert shares["claim"] <= 50
 
 
