--- a/src/_arbutuswalk/control/discovery.py
+++ b/src/_arbutuswalk/control/discovery.py
@@ -23,7 +23,7 @@
 from _arbutuswalk.wire import compressed_json
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-WATCH_TIMEOUT_S = 0.4
+MAX_WATCH_WAIT_S = 0.4
 """Longest time a watch waits for an update; bounds the age of the loads."""
 ENTRY_SILENCE_TIMEOUT_S = 1.5
 """Time without a watch after which an entry is no longer returned to callers:
@@ -41,7 +41,7 @@
 """Largest part of a configuration per reply: 0.05 s on a 5 Mbit/s link."""
 
 
-class EntryState(NamedTuple):
+class KnownEntry(NamedTuple):
     """An entry as this member knows it.
 
     Attributes:
@@ -65,7 +65,7 @@
         session: Random id of this process start; revisions are valid only
             within it.
         directory: Endpoints.
-        entries: State by entry id and incarnation.
+        entries: Known entries by id and incarnation.
         changed: Set and replaced when there is an update for entries.
         metrics: Counters of this process.
         compressed_routes: Route configuration as entries fetch it.
@@ -76,7 +76,7 @@
         self.member = member
         self.session = secrets.token_hex(8)
         self.directory = directories.Directory()
-        self.entries: dict[tuple[str, int], EntryState] = {}
+        self.entries: dict[tuple[str, int], KnownEntry] = {}
         self.changed = asyncio.Event()
         self.now: clock.Clock = member.now
         self.wall: clock.Clock = member.wall
@@ -139,19 +139,19 @@
     def ready_entries(self) -> list[dict[str, Any]]:
         """Returns the reports of reachable entries that are ready."""
         return [
-            state.report
-            for state in self.reachable_entries().values()
-            if state.report.get("ready")
+            entry.report
+            for entry in self.reachable_entries().values()
+            if entry.report.get("ready")
         ]
 
-    def reachable_entries(self) -> dict[str, EntryState]:
+    def reachable_entries(self) -> dict[str, KnownEntry]:
         """Returns the newest incarnation of each reachable entry, by id."""
         cutoff = self.now() - ENTRY_SILENCE_TIMEOUT_S
         return _newest_incarnations(
             {
-                key: state
-                for key, state in self.entries.items()
-                if state.last_watch_at >= cutoff
+                key: entry
+                for key, entry in self.entries.items()
+                if entry.last_watch_at >= cutoff
             }
         )
 
@@ -163,7 +163,7 @@
         if not self._has_update(message, revision):
             changed = self.changed
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(changed.wait(), WATCH_TIMEOUT_S)
+                await asyncio.wait_for(changed.wait(), MAX_WATCH_WAIT_S)
         return ttypes.WatchReply(
             session=self.session,
             version=self.directory.revision,
@@ -182,13 +182,13 @@
             self.directory, now, ENDPOINT_RETENTION_S
         ):
             events.record(events.Event.ENDPOINT_FORGOTTEN, name)
-        for key, state in list(self.entries.items()):
-            if now - state.last_watch_at > ENTRY_RETENTION_S:
+        for key, entry in list(self.entries.items()):
+            if now - entry.last_watch_at > ENTRY_RETENTION_S:
                 del self.entries[key]
 
     def reports(self) -> list[dict[str, Any]]:
         """Returns the last report of every incarnation of every entry."""
-        return [state.report for state in self.entries.values()]
+        return [entry.report for entry in self.entries.values()]
 
     def known_entries(self) -> set[str]:
         """Returns the entries that may be serving, reachable or not.
@@ -197,30 +197,30 @@
         """
         return {
             name
-            for name, state in _newest_incarnations(self.entries).items()
-            if not state.report.get("left")
+            for name, entry in _newest_incarnations(self.entries).items()
+            if not entry.report.get("left")
         }
 
     def quota_taken(self) -> dict[str, float]:
         """Returns the quota used by all entries together, by workspace."""
         totals: dict[str, float] = {}
-        for state in self.entries.values():
-            for name, amount in state.report.get("taken", {}).items():
+        for entry in self.entries.values():
+            for name, amount in entry.report.get("taken", {}).items():
                 totals[name] = totals.get(name, 0.0) + amount
         return totals
 
     def loads(self) -> dict[str, tuple[int, int]]:
         """Returns requests and unprocessed prompt tokens, by endpoint."""
         totals: dict[str, tuple[int, int]] = {}
-        for state in self.reachable_entries().values():
-            for endpoint, load in state.report.get("loads", {}).items():
+        for entry in self.reachable_entries().values():
+            for endpoint, load in entry.report.get("loads", {}).items():
                 running, tokens = totals.get(endpoint, (0, 0))
                 totals[endpoint] = (running + load[0], tokens + load[1])
         return totals
 
-    def wall_at_last_watch(self, state: EntryState) -> float:
+    def wall_at_last_watch(self, entry: KnownEntry) -> float:
         """Returns this process's wall clock time of an entry's last watch."""
-        return self.wall() - (self.now() - state.last_watch_at)
+        return self.wall() - (self.now() - entry.last_watch_at)
 
     def member_addresses(self) -> list[str]:
         """Returns the link addresses of all members, including this one."""
@@ -229,12 +229,12 @@
 
     def _has_entry_behind(self, revision: int) -> bool:
         return any(
-            state.revision < revision
-            for state in self.reachable_entries().values()
+            entry.revision < revision
+            for entry in self.reachable_entries().values()
         )
 
     def _record_watch(self, message: ttypes.Watch, revision: int) -> None:
-        self.entries[message.entry, message.incarnation] = EntryState(
+        self.entries[message.entry, message.incarnation] = KnownEntry(
             message.incarnation,
             revision,
             compressed_json.decode(message.report),
@@ -294,11 +294,11 @@
 
 
 def _newest_incarnations(
-    entries: dict[tuple[str, int], EntryState],
-) -> dict[str, EntryState]:
-    """Returns the state of each entry's newest incarnation, by id."""
-    newest: dict[str, EntryState] = {}
-    for (name, incarnation), state in entries.items():
+    entries: dict[tuple[str, int], KnownEntry],
+) -> dict[str, KnownEntry]:
+    """Returns the newest incarnation of each entry, by id."""
+    newest: dict[str, KnownEntry] = {}
+    for (name, incarnation), entry in entries.items():
         if name not in newest or newest[name].incarnation < incarnation:
-            newest[name] = state
+            newest[name] = entry
     return newest
--- a/src/_arbutuswalk/control/usage_reports.py
+++ b/src/_arbutuswalk/control/usage_reports.py
@@ -78,9 +78,9 @@
 def sum_counts(components: process.Components, window: int) -> dict[str, int]:
     """Sums a window's counts over all incarnations of all entries."""
     totals: dict[str, int] = {}
-    for state in components.discovery.entries.values():
+    for entry in components.discovery.entries.values():
         for name, number in (
-            _usage_by_window(state.report).get(str(window), {}).items()
+            _usage_by_window(entry.report).get(str(window), {}).items()
         ):
             totals[name] = totals.get(name, 0) + number
     return totals
@@ -93,11 +93,11 @@
     """
     own_wall = components.member.wall()
     offsets = [0.0]
-    for state in components.discovery.reachable_entries().values():
-        reported_wall = state.report.get("wall")
+    for entry in components.discovery.reachable_entries().values():
+        reported_wall = entry.report.get("wall")
         if isinstance(reported_wall, int | float):
             offsets.append(
-                reported_wall - components.discovery.wall_at_last_watch(state)
+                reported_wall - components.discovery.wall_at_last_watch(entry)
             )
     return own_wall + statistics.median(offsets)
 
@@ -105,8 +105,8 @@
 def _reported_windows(components: process.Components) -> set[int]:
     return {
         int(window)
-        for state in components.discovery.entries.values()
-        for window in _usage_by_window(state.report)
+        for entry in components.discovery.entries.values()
+        for window in _usage_by_window(entry.report)
     }
 
 
--- a/src/_arbutuswalk/entry/at_most_once.py
+++ b/src/_arbutuswalk/entry/at_most_once.py
@@ -33,12 +33,12 @@
 STATUS_TIMEOUT_S = 2.0
 MAX_CONNECT_ATTEMPTS = 3
 
-Outcome = exchange.Reply | answer.Problem
+CallOutcome = exchange.Reply | answer.Problem
 
 
 async def run_call(
     entry: entry_state.Entry, call: service_routes.ServiceCall
-) -> Outcome:
+) -> CallOutcome:
     """Runs a call at most once and returns its answer or known outcome.
 
     A resend that arrives while the call runs here waits for the same answer.
@@ -69,7 +69,7 @@
 
 async def _commit_and_send(
     entry: entry_state.Entry, call: service_routes.ServiceCall, digest: str
-) -> Outcome:
+) -> CallOutcome:
     """Commits the intent and sends; retries only if no connection opened."""
     avoid: set[str] = set()
     for _ in range(MAX_CONNECT_ATTEMPTS):
@@ -101,7 +101,7 @@
     call: service_routes.ServiceCall,
     attempt: str,
     outcome: object,
-) -> Outcome:
+) -> CallOutcome:
     if isinstance(outcome, outcomes.CallState):
         return await _answer_resend(entry, call, outcome)
     if isinstance(outcome, outcomes.Reused):
@@ -118,7 +118,7 @@
     call: service_routes.ServiceCall,
     attempt: str,
     row: upstreams.Row,
-) -> Outcome | None:
+) -> CallOutcome | None:
     """Sends a granted call; None if it was not sent and was withdrawn."""
     row.sent_since_report += 1
     row.active_attempts[call.call_id] = None
@@ -150,7 +150,7 @@
 
 async def _withdraw(
     entry: entry_state.Entry, call: service_routes.ServiceCall, attempt: str
-) -> Outcome | None:
+) -> CallOutcome | None:
     command = commands.WithdrawCall(call.workspace, call.key, attempt)
     outcome = await entry.control.submit(command, timeout_s=COMMIT_TIMEOUT_S)
     if isinstance(outcome, control_client.Unreachable):
@@ -164,7 +164,7 @@
     call: service_routes.ServiceCall,
     attempt: str,
     row: upstreams.Row,
-) -> Outcome:
+) -> CallOutcome:
     """Queries the status route about a call whose answer was lost."""
     events.warn(events.Event.CALL_UNKNOWN, call.key, row.key)
     entry.metrics.count("calls_unknown")
@@ -221,7 +221,7 @@
     entry: entry_state.Entry,
     call: service_routes.ServiceCall,
     state: outcomes.CallState,
-) -> Outcome:
+) -> CallOutcome:
     """Answers a resend from the call's record, waiting while it runs."""
     while state.state == "running" and entry.now() < call.deadline:
         await asyncio.sleep(RUNNING_POLL_INTERVAL_S)
@@ -245,7 +245,7 @@
     return outcome_of_record(state)
 
 
-def outcome_of_record(state: outcomes.CallState) -> Outcome:
+def outcome_of_record(state: outcomes.CallState) -> CallOutcome:
     """Returns the answer or problem that a recorded call state represents."""
     if state.state == "done":
         return exchange.Reply(
--- a/src/_arbutuswalk/limits/quota.py
+++ b/src/_arbutuswalk/limits/quota.py
@@ -193,14 +193,16 @@
             Zero if the tokens were taken, else seconds until a retry.
         """
         report_age_s = now - self.last_report_at
-        isolated = report_age_s > MAX_REPORT_AGE_S and entries > 1
+        without_reports = report_age_s > MAX_REPORT_AGE_S and entries > 1
         self._refill(now)
         self.entries = max(1, entries)
         self.usable_fraction = _usable_fraction(
-            entries, unreachable, isolated=isolated
+            entries, unreachable, without_reports=without_reports
         )
         self.level = min(self.level, self.burst * self.usable_fraction)
-        held_back = 0.0 if isolated else self._estimate_unreported(report_age_s)
+        held_back = (
+            0.0 if without_reports else self._estimate_unreported(report_age_s)
+        )
         available = self.level - held_back
         required = _required_level(
             cost, self.burst * self.usable_fraction, late=late
@@ -240,10 +242,10 @@
 
 
 def _usable_fraction(
-    entries: int, unreachable: int, *, isolated: bool
+    entries: int, unreachable: int, *, without_reports: bool
 ) -> float:
     """Returns the fraction of the bucket that an entry may use."""
-    if isolated:
+    if without_reports:
         return 1 / entries
     reachable = max(1, entries - unreachable)
     return reachable / max(1, entries)
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -27,7 +27,7 @@
 STARTUP_RETRY_PAUSE_S = 0.05
 """The same before the first configuration: control may be starting at the same
 time."""
-ENDPOINT_EXPIRY_S = 20.0
+ENDPOINT_RETENTION_S = 20.0
 """Time without an announcement after which an endpoint is removed, the same as
 at control."""
 NON_SEED_TIMEOUT_S = 30.0
@@ -119,16 +119,16 @@
     def _expire_endpoints(self, now: float) -> None:
         """Removes silent endpoints if control could have announced them.
 
-        Without control, and until ``ENDPOINT_EXPIRY_S`` after it is back, the
-        entry continues with the known endpoints.
+        Without control, and until ``ENDPOINT_RETENTION_S`` after it is back,
+        the entry continues with the known endpoints.
         """
         if not any(feed.connected for feed in self.feeds.values()):
             self.connected_since = None
             return
         if self.connected_since is None:
             self.connected_since = now
-        if now - self.connected_since > ENDPOINT_EXPIRY_S:
-            directory.expire(self.relay.directory, now, ENDPOINT_EXPIRY_S)
+        if now - self.connected_since > ENDPOINT_RETENTION_S:
+            directory.expire(self.relay.directory, now, ENDPOINT_RETENTION_S)
 
     async def stop(self) -> None:
         """Stops watching."""
--- a/src/_arbutuswalk/routing/version_outcomes.py
+++ b/src/_arbutuswalk/routing/version_outcomes.py
@@ -21,7 +21,7 @@
     route: str
 
 
-class OutcomeCounts:
+class EntryOutcomeCounts:
     """Outcome counts of one version on one route since the entry started.
 
     Attributes:
@@ -52,13 +52,13 @@
     """
 
     def __init__(self):
-        self.counts: dict[OutcomeKey, OutcomeCounts] = {}
+        self.counts: dict[OutcomeKey, EntryOutcomeCounts] = {}
         self.latencies: dict[OutcomeKey, collections.deque[float]] = {}
         self.cut_off: set[OutcomeKey] = set()
 
-    def counts_for(self, key: OutcomeKey) -> OutcomeCounts:
+    def counts_for(self, key: OutcomeKey) -> EntryOutcomeCounts:
         """Returns the outcome counts of a key, creating them if needed."""
-        return self.counts.setdefault(key, OutcomeCounts())
+        return self.counts.setdefault(key, EntryOutcomeCounts())
 
     def record(
         self,
@@ -95,7 +95,7 @@
         return False
 
     def _should_cut_off(
-        self, counts: OutcomeCounts, baseline: OutcomeKey | None
+        self, counts: EntryOutcomeCounts, baseline: OutcomeKey | None
     ) -> bool:
         """Returns whether the error rate is well above the old version's."""
         errors = sum(counts.recent)
@@ -110,7 +110,7 @@
         ) / len(baseline_counts.recent)
 
     def _compare_latency(
-        self, counts: OutcomeCounts, baseline: OutcomeKey, latency_s: float
+        self, counts: EntryOutcomeCounts, baseline: OutcomeKey, latency_s: float
     ) -> None:
         """Counts a latency if there are enough samples to compare it with.
 
--- a/src/_arbutuswalk/state/rollout_policy.py
+++ b/src/_arbutuswalk/state/rollout_policy.py
@@ -16,7 +16,7 @@
 LOG_EVIDENCE_THRESHOLD = math.log(300)
 """Log evidence at which a version is reverted. Each of the two tests reverts
 at most one good version in 300."""
-MIN_OUTCOMES = 3
+MIN_OUTCOMES_TO_COMPLETE = 3
 """Requests of the new version required before it is completed."""
 MIN_STEP_INTERVAL_S = 0.7
 """Minimum time between steps: reports and shares take half a second to
@@ -97,7 +97,9 @@
         trial.last_step_at = now
         reason = f"{trial.evidence.errors.new_ran} ran without a fault"
         return _make_step(upstream, row, rollouts.GROWING, share, reason)
-    has_enough_outcomes = trial.evidence.errors.new_ran >= MIN_OUTCOMES
+    has_enough_outcomes = (
+        trial.evidence.errors.new_ran >= MIN_OUTCOMES_TO_COMPLETE
+    )
     if (
         row.share == FULL_SHARE_PER_MILLE
         and elapsed_fraction >= COMPLETION_FRACTION
@@ -133,7 +135,7 @@
 ) -> commands.StepRollout:
     if (
         row.share == FULL_SHARE_PER_MILLE
-        and trial.evidence.errors.new_ran >= MIN_OUTCOMES
+        and trial.evidence.errors.new_ran >= MIN_OUTCOMES_TO_COMPLETE
     ):
         return _make_step(
             upstream,
--- a/testing/test_watching.py
+++ b/testing/test_watching.py
@@ -76,7 +76,7 @@
         watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" in watcher.relay.directory.rows
-        watcher.relay.now.time += control_watch.ENDPOINT_EXPIRY_S + 1
+        watcher.relay.now.time += control_watch.ENDPOINT_RETENTION_S + 1
         watcher._apply_reply(feed, make_reply())
         watcher.tick()
         assert "a" not in watcher.relay.directory.rows
