--- a/src/_arbutuswalk/load/callers.py
+++ b/src/_arbutuswalk/load/callers.py
@@ -15,7 +15,7 @@
 
 CONNECT_TIMEOUT_S = 1.0
 READ_TIMEOUT_S = 12.0
-RETRY_PAUSE_S = 0.1
+RETRY_INTERVAL_S = 0.1
 MAX_SENDS_PER_ITEM = 40
 
 
@@ -128,7 +128,7 @@
                 is_final = False
             if is_final:
                 break
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         result.total_s = time.monotonic() - started
         return result
 
--- a/src/_arbutuswalk/relay/config_fetch.py
+++ b/src/_arbutuswalk/relay/config_fetch.py
@@ -19,7 +19,7 @@
 
 PART_TIMEOUT_S = 0.5
 """Time-out for one part: ten times its transfer time at 5 Mbit/s."""
-RETRY_PAUSE_S = 0.1
+RETRY_INTERVAL_S = 0.1
 """Pause after all members have failed to send a part."""
 
 
@@ -85,7 +85,7 @@
         ]
         if not untried_members:
             failed_addresses.clear()
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
             continue
         chosen_member = max(
             untried_members, key=lambda member: member.routes_version
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -22,9 +22,9 @@
 
 WATCH_TIMEOUT_S = 1.2
 """Time-out of a watch: three times as long as control holds it open."""
-RETRY_PAUSE_S = 0.2
+RETRY_INTERVAL_S = 0.2
 """Pause after a failed watch."""
-STARTUP_RETRY_PAUSE_S = 0.05
+STARTUP_RETRY_INTERVAL_S = 0.05
 """The same before the first configuration: control may be starting at the same
 time."""
 ENDPOINT_RETENTION_S = 20.0
@@ -163,7 +163,7 @@
                 feed.link.close("timed out")
             has_config = self.relay.route_table is not None
             await asyncio.sleep(
-                RETRY_PAUSE_S if has_config else STARTUP_RETRY_PAUSE_S
+                RETRY_INTERVAL_S if has_config else STARTUP_RETRY_INTERVAL_S
             )
 
     def _make_watch_message(self, feed: ControlFeed) -> ttypes.Watch:
--- a/src/_arbutuswalk/state/configuration.py
+++ b/src/_arbutuswalk/state/configuration.py
@@ -8,7 +8,7 @@
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import tables as rows
 
-OPERATION_KEPT_MS = 24 * 3600 * 1000
+OPERATION_RETENTION_MS = 24 * 3600 * 1000
 MAX_HISTORY_REVISIONS = 200
 
 
@@ -37,7 +37,7 @@
 
 def expire(tables: rows.Tables) -> None:
     """Removes operations too old to be resent."""
-    cutoff_ms = tables.time_ms - OPERATION_KEPT_MS
+    cutoff_ms = tables.time_ms - OPERATION_RETENTION_MS
     for operation, row in list(tables.operations.items()):
         if row.at_ms >= cutoff_ms:
             return
--- a/src/_arbutuswalk/state/entries.py
+++ b/src/_arbutuswalk/state/entries.py
@@ -9,7 +9,7 @@
 SERVING = "serving"
 DRAINING = "draining"
 GONE = "gone"
-GONE_KEPT_MS = 600_000
+GONE_RETENTION_MS = 600_000
 
 
 def register(
@@ -56,8 +56,8 @@
 
 
 def expire(tables: rows.Tables) -> None:
-    """Removes entries that have been gone for ``GONE_KEPT_MS``."""
-    cutoff_ms = tables.time_ms - GONE_KEPT_MS
+    """Removes entries that have been gone for ``GONE_RETENTION_MS``."""
+    cutoff_ms = tables.time_ms - GONE_RETENTION_MS
     for entry, row in list(tables.entries.items()):
         if row.state == GONE and row.at_ms < cutoff_ms:
             del tables.entries[entry]
--- a/src/_arbutuswalk/state/fleet.py
+++ b/src/_arbutuswalk/state/fleet.py
@@ -9,7 +9,7 @@
 LEAVING = "leaving"
 GONE = "gone"
 PENDING = "pending"
-ENDED_KEPT_MS = 600_000
+ENDED_RETENTION_MS = 600_000
 
 
 def record_order(
@@ -82,7 +82,7 @@
 
 def expire(tables: rows.Tables) -> None:
     """Removes ended instances, settled orders and notices past retention."""
-    cutoff_ms = tables.time_ms - ENDED_KEPT_MS
+    cutoff_ms = tables.time_ms - ENDED_RETENTION_MS
     for name, (at_ms, _) in list(tables.leaving.items()):
         if at_ms < cutoff_ms:
             del tables.leaving[name]
--- a/src/_arbutuswalk/state/ledger.py
+++ b/src/_arbutuswalk/state/ledger.py
@@ -10,10 +10,10 @@
 from _arbutuswalk.state import outcomes
 from _arbutuswalk.state import tables as rows
 
-RECORD_KEPT_MS = 24 * 3600 * 1000
+RECORD_RETENTION_MS = 24 * 3600 * 1000
 """Retention of call records in log time; callers must resend within it."""
 
-WITHDRAWN_KEPT_MS = 600_000
+WITHDRAWN_RETENTION_MS = 600_000
 """Maximum delay of an intent that is committed after its withdrawal."""
 
 
@@ -131,7 +131,7 @@
 
 def expire(tables: rows.Tables) -> None:
     """Removes call records and withdrawals past their retention."""
-    cutoff_ms = tables.time_ms - RECORD_KEPT_MS
+    cutoff_ms = tables.time_ms - RECORD_RETENTION_MS
     expired = []
     for call, row in tables.calls.items():
         if row.at_ms >= cutoff_ms:
@@ -139,7 +139,7 @@
         expired.append(call)
     for call in expired:
         del tables.calls[call]
-    cutoff_ms = tables.time_ms - WITHDRAWN_KEPT_MS
+    cutoff_ms = tables.time_ms - WITHDRAWN_RETENTION_MS
     for attempt, at_ms in list(tables.withdrawn.items()):
         if at_ms >= cutoff_ms:
             return
--- a/src/_arbutuswalk/state/quarantine.py
+++ b/src/_arbutuswalk/state/quarantine.py
@@ -12,7 +12,7 @@
 
 CONVICTION_MS = 600_000
 SUSPICION_MS = 300_000
-DEATH_KEPT_MS = 300_000
+DEATH_RETENTION_MS = 300_000
 
 
 def isolate(tables: rows.Tables, command: commands.Isolate) -> outcomes.Outcome:
@@ -130,7 +130,7 @@
             del tables.suspects[fingerprint]
             _remove_isolations(tables, fingerprint)
     for death, row in list(tables.deaths.items()):
-        if row.at_ms + DEATH_KEPT_MS <= now_ms:
+        if row.at_ms + DEATH_RETENTION_MS <= now_ms:
             del tables.deaths[death]
 
 
--- a/testing/test_fetching.py
+++ b/testing/test_fetching.py
@@ -56,7 +56,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pause(monkeypatch):
-    monkeypatch.setattr(config_fetch, "RETRY_PAUSE_S", 0.0)
+    monkeypatch.setattr(config_fetch, "RETRY_INTERVAL_S", 0.0)
 
 
 class TestFetch:
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -93,7 +93,7 @@
 
     def test_records_expire_by_log_time(self, state):
         apply(state, begin(), at_ms=1000)
-        late = 1000 + ledger.RECORD_KEPT_MS
+        late = 1000 + ledger.RECORD_RETENTION_MS
         apply(state, commands.Tick(), at_ms=late)
         assert isinstance(ledger.find(state, "w", "k"), outcomes.CallState)
         apply(state, commands.Tick(), at_ms=late + 2000)
@@ -143,7 +143,7 @@
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_records_that_expire_too_soon(self, monkeypatch):
-        monkeypatch.setattr(ledger, "RECORD_KEPT_MS", 3000)
+        monkeypatch.setattr(ledger, "RECORD_RETENTION_MS", 3000)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
