--- a/bench/control.py
+++ b/bench/control.py
@@ -112,13 +112,13 @@
     return durations_s
 
 
-def make_durable_replica(path, snapshot_every=10**9):
+def make_durable_replica(path, snapshot_interval_entries=10**9):
     recovered_replica = durable_replica.DurableReplica(
         data=folder.Folder(path=path),
         identity=durable_replica.Identity("127.0.0.1:1", ("127.0.0.1:1",), 1),
         timing=types.Timing(),
         rng=random.Random(1),
-        snapshot_every=snapshot_every,
+        snapshot_interval_entries=snapshot_interval_entries,
     )
     assert recovered_replica.recover(0.0) is None
     return recovered_replica
--- a/src/_arbutuswalk/agreement/terms.py
+++ b/src/_arbutuswalk/agreement/terms.py
@@ -26,5 +26,5 @@
 
 def reset_election_timeout(replica: replicas.Replica, now: float) -> None:
     """Sets a new random time at which to start an election."""
-    delay = replica.timing.election_s * (1 + replica.rng.random())
-    replica.election_due_at = now + delay
+    delay_s = replica.timing.election_s * (1 + replica.rng.random())
+    replica.election_due_at = now + delay_s
--- a/src/_arbutuswalk/control/durable_replica.py
+++ b/src/_arbutuswalk/control/durable_replica.py
@@ -26,7 +26,7 @@
 from _arbutuswalk.storage import wal
 from _arbutuswalk.wire.gen.arbutus import ttypes
 
-SNAPSHOT_EVERY = 2000
+SNAPSHOT_INTERVAL_ENTRIES = 2000
 """Log entries between two snapshots; equal on all members."""
 
 
@@ -67,7 +67,7 @@
         replica: The replica, set by ``recover``.
         tables: State after all applied log entries.
         applied: Index of the last applied log entry.
-        snapshot_every: Log entries between two snapshots.
+        snapshot_interval_entries: Log entries between two snapshots.
         counts: Number of log entries, syncs and messages, for the dump.
     """
 
@@ -78,14 +78,14 @@
         identity: Identity,
         timing: types.Timing,
         rng: random.Random,
-        snapshot_every: int = SNAPSHOT_EVERY,
+        snapshot_interval_entries: int = SNAPSHOT_INTERVAL_ENTRIES,
         segment_bytes: int = wal.SEGMENT_BYTES,
     ):
         self.data = data
         self.identity = identity
         self.timing = timing
         self.rng = rng
-        self.snapshot_every = snapshot_every
+        self.snapshot_interval_entries = snapshot_interval_entries
         self.wal = wal.Wal(folder=data, segment_bytes=segment_bytes)
         self.replica: replicas.Replica | None = None
         self.tables = rows.Tables()
@@ -225,7 +225,7 @@
         """Returns a snapshot to save, at indices equal on all members."""
         index = self.applied
         if (
-            index % self.snapshot_every
+            index % self.snapshot_interval_entries
             or index <= self.replica.log.snapshot_index
         ):
             return None
--- a/src/_arbutuswalk/entry/entry_state.py
+++ b/src/_arbutuswalk/entry/entry_state.py
@@ -21,7 +21,7 @@
 
 INITIAL_TOKENS_PER_S = 16.0
 """Tokens per second assumed for a slot before any attempt was measured."""
-SPEED_SMOOTHING = 0.1
+SPEED_SMOOTHING_FACTOR = 0.1
 MIN_TOKENS_FOR_SPEED = 8
 
 
@@ -178,7 +178,7 @@
         if tokens < MIN_TOKENS_FOR_SPEED or seconds <= 0:
             return
         speed = self.slot_speed(name)
-        self.slot_speeds[name] = speed + SPEED_SMOOTHING * (
+        self.slot_speeds[name] = speed + SPEED_SMOOTHING_FACTOR * (
             tokens / seconds - speed
         )
 
--- a/testing/fakes.py
+++ b/testing/fakes.py
@@ -107,7 +107,7 @@
             ),
             timing=TIMING,
             rng=random.Random(self.cluster.rng.random()),
-            snapshot_every=self.cluster.snapshot_every,
+            snapshot_interval_entries=self.cluster.snapshot_interval_entries,
             segment_bytes=1500,
         )
         failure = self.core.recover(self.cluster.now)
@@ -148,13 +148,13 @@
         self,
         seed=0,
         spares=0,
-        snapshot_every=15,
+        snapshot_interval_entries=15,
         peer_count=3,
         target_voters=3,
     ):
         self.rng = random.Random(seed)
         self.now = 100.0
-        self.snapshot_every = snapshot_every
+        self.snapshot_interval_entries = snapshot_interval_entries
         self.target_voters = target_voters
         node_count = peer_count + spares
         addresses = [f"127.0.0.1:{7000 + i}" for i in range(node_count)]
--- a/testing/ledger_machine.py
+++ b/testing/ledger_machine.py
@@ -46,8 +46,8 @@
         if mode == "drop":
             return exchange.Lost(reason="never arrived")
         if mode == "late":
-            delay = self.rng.random() * 10
-            self.loop.call_later(delay, self._run, order)
+            delay_s = self.rng.random() * 10
+            self.loop.call_later(delay_s, self._run, order)
             return exchange.Lost(reason="arrives later")
         if mode == "hang":
             self._run(order)
