--- a/src/_arbutuswalk/agreement/replica.py
+++ b/src/_arbutuswalk/agreement/replica.py
@@ -98,7 +98,8 @@
         leader: Leader of ``term`` if known, or empty.
         leader_heard_at: When the leader was last heard from, or the start
             time.
-        election_due_at: When to start an election unless a leader is heard.
+        election_due_at: When to start an election unless a leader is heard
+            from.
         granted_by: Voters that granted a vote in the current (trial) election.
         log: Entries held in memory.
         durable_index: Last entry known to be durable on this member.
@@ -140,8 +141,8 @@
         self.vote_unsaved = False
         self.role = types.Role.FOLLOWER
         self.leader = ""
-        # A restarted member does not know which leader it heard before. Waiting
-        # a whole election timeout keeps that leader's lease valid.
+        # A restarted member does not know which leader it last heard from.
+        # Waiting a full election timeout keeps that leader's lease valid.
         self.leader_heard_at = now
         self.election_due_at = now + timing.election_s * (1 + rng.random())
         self.granted_by: set[str] = set()
--- a/src/_arbutuswalk/entry/execution.py
+++ b/src/_arbutuswalk/entry/execution.py
@@ -301,7 +301,7 @@
 ) -> None:
     entry, request = state.entry, state.request
     if _is_leaving_or_moved(state, row, result):
-        return  # a leaving upstream or a move says nothing of the version
+        return  # a leaving upstream or a move says nothing about the version
     if isinstance(result, attempts.NotConnected):
         return
     assigned, previous = versions.pick_version(
--- a/src/_arbutuswalk/entry/request_copies.py
+++ b/src/_arbutuswalk/entry/request_copies.py
@@ -1,7 +1,7 @@
 """Copies of accepted requests at a peer entry in another failure domain.
 
 The owner sends the request when it accepts it, and events in batches as they
-arrive. If the owner dies, the holder of the copy, or the entry at which a
+arrive. If the owner crashes, the holder of the copy, or the entry at which a
 caller resumes, continues from the copied events. A caller that received more
 events than were copied gets the answer from the start after a reset event.
 """
--- a/src/_arbutuswalk/wire/sockets.py
+++ b/src/_arbutuswalk/wire/sockets.py
@@ -4,7 +4,7 @@
 
 USER_TIMEOUT_MS = 1500
 """Time without acknowledgement after which the kernel aborts a connection. It
-is below the two seconds after which callers abandon a silent stream."""
+is below the two seconds after which callers abandon a stalled stream."""
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBE_COUNT = 2
