--- a/src/_arbutuswalk/entry/at_most_once.py
+++ b/src/_arbutuswalk/entry/at_most_once.py
@@ -33,12 +33,12 @@
 STATUS_TIMEOUT_S = 2.0
 MAX_CONNECT_ATTEMPTS = 3
 
-Outcome = exchange.Reply | answer.Problem
+CallOutcome = exchange.Reply | answer.Problem
 
 
 async def run_call(
     entry: entry_state.Entry, call: service_routes.ServiceCall
-) -> Outcome:
+) -> CallOutcome:
     """Runs a call at most once and returns its answer or known outcome.
 
     A resend that arrives while the call runs here waits for the same answer.
@@ -56,7 +56,9 @@
     try:
         outcome = await _commit_and_send(entry, call, digest)
     except BaseException:
-        outcome = _unknown("the entry stopped while running the call")
+        outcome = _unknown_outcome_problem(
+            "the entry stopped while running the call"
+        )
         raise
     finally:
         del entry.running_calls[scoped_key]
@@ -67,7 +69,7 @@
 
 async def _commit_and_send(
     entry: entry_state.Entry, call: service_routes.ServiceCall, digest: str
-) -> Outcome:
+) -> CallOutcome:
     """Commits the intent and sends; retries only if no connection opened."""
     avoid: set[str] = set()
     for _ in range(MAX_CONNECT_ATTEMPTS):
@@ -75,7 +77,7 @@
             entry, call, frozenset(avoid)
         )
         if row is None:
-            return _not_run("no upstream is up")
+            return _not_run_problem("no upstream is up")
         attempt = uuid.uuid4().hex
         asked_at = entry.now()
         granted = await entry.control.submit(
@@ -83,23 +85,23 @@
             timeout_s=min(COMMIT_TIMEOUT_S, call.deadline - asked_at),
         )
         if not isinstance(granted, outcomes.Granted):
-            return await _not_granted(entry, call, attempt, granted)
+            return await _answer_ungranted(entry, call, attempt, granted)
         if entry.now() - asked_at > MAX_GRANT_AGE_S:
             _withdraw_in_background(entry, call, attempt)
-            return _not_run("the intent was committed too late")
+            return _not_run_problem("the intent was committed too late")
         outcome = await _send(entry, call, attempt, row)
         if outcome is not None:
             return outcome
         avoid.add(row.key)
-    return _not_run("no connection to an upstream opened")
+    return _not_run_problem("no connection to an upstream opened")
 
 
-async def _not_granted(
+async def _answer_ungranted(
     entry: entry_state.Entry,
     call: service_routes.ServiceCall,
     attempt: str,
     outcome: object,
-) -> Outcome:
+) -> CallOutcome:
     if isinstance(outcome, outcomes.CallState):
         return await _answer_resend(entry, call, outcome)
     if isinstance(outcome, outcomes.Reused):
@@ -107,8 +109,8 @@
     if isinstance(outcome, control_client.Unreachable):
         # The intent may still be committed, but the call is never sent.
         _withdraw_in_background(entry, call, attempt)
-        return _not_run("the control group did not answer")
-    return _not_run("the entry has to register again")
+        return _not_run_problem("the control group did not answer")
+    return _not_run_problem("the entry has to register again")
 
 
 async def _send(
@@ -116,7 +118,7 @@
     call: service_routes.ServiceCall,
     attempt: str,
     row: upstreams.Row,
-) -> Outcome | None:
+) -> CallOutcome | None:
     """Sends a granted call; None if it was not sent and was withdrawn."""
     row.sent_since_report += 1
     row.active_attempts[call.call_id] = None
@@ -148,12 +150,12 @@
 
 async def _withdraw(
     entry: entry_state.Entry, call: service_routes.ServiceCall, attempt: str
-) -> Outcome | None:
+) -> CallOutcome | None:
     command = commands.WithdrawCall(call.workspace, call.key, attempt)
     outcome = await entry.control.submit(command, timeout_s=COMMIT_TIMEOUT_S)
     if isinstance(outcome, control_client.Unreachable):
         _record_in_background(entry, command)
-        return _not_run("no connection to the upstream opened")
+        return _not_run_problem("no connection to the upstream opened")
     return None
 
 
@@ -162,7 +164,7 @@
     call: service_routes.ServiceCall,
     attempt: str,
     row: upstreams.Row,
-) -> Outcome:
+) -> CallOutcome:
     """Queries the status route about a call whose answer was lost."""
     events.warn(events.Event.CALL_UNKNOWN, call.key, row.key)
     entry.metrics.count("calls_unknown")
@@ -175,7 +177,7 @@
     _record_in_background(
         entry, commands.LoseCall(call.workspace, call.key, attempt)
     )
-    return _unknown("the answer was lost on the way")
+    return _unknown_outcome_problem("the answer was lost on the way")
 
 
 async def query_status_route(
@@ -219,7 +221,7 @@
     entry: entry_state.Entry,
     call: service_routes.ServiceCall,
     state: outcomes.CallState,
-) -> Outcome:
+) -> CallOutcome:
     """Answers a resend from the call's record, waiting while it runs."""
     while state.state == "running" and entry.now() < call.deadline:
         await asyncio.sleep(RUNNING_POLL_INTERVAL_S)
@@ -229,10 +231,10 @@
             timeout_s=COMMIT_TIMEOUT_S,
         )
         if not isinstance(reply, dict):
-            return _unknown("the control group did not answer")
+            return _unknown_outcome_problem("the control group did not answer")
         new_state = outcomes.decode(reply)
         if not isinstance(new_state, outcomes.CallState):
-            return _not_run("the call was withdrawn; send it again")
+            return _not_run_problem("the call was withdrawn; send it again")
         state = new_state
     if state.state == "unknown":
         reply = await query_status_route(
@@ -243,7 +245,7 @@
     return outcome_of_record(state)
 
 
-def outcome_of_record(state: outcomes.CallState) -> Outcome:
+def outcome_of_record(state: outcomes.CallState) -> CallOutcome:
     """Returns the answer or problem that a recorded call state represents."""
     if state.state == "done":
         return exchange.Reply(
@@ -255,7 +257,9 @@
         return answer.Problem(
             504, "still running", "ask again with the same key", "yes", 1
         )
-    return _unknown("the outcome of the first sending is not known")
+    return _unknown_outcome_problem(
+        "the outcome of the first sending is not known"
+    )
 
 
 def reused_problem() -> answer.Problem:
@@ -338,11 +342,11 @@
         await asyncio.sleep(RECORD_RETRY_INTERVAL_S)
 
 
-def _not_run(detail: str) -> answer.Problem:
+def _not_run_problem(detail: str) -> answer.Problem:
     return answer.Problem(503, "not run", detail, "no", placement.RETRY_AFTER_S)
 
 
-def _unknown(detail: str) -> answer.Problem:
+def _unknown_outcome_problem(detail: str) -> answer.Problem:
     return answer.Problem(
         504,
         "outcome unknown",
--- a/src/_arbutuswalk/relay/control_watch.py
+++ b/src/_arbutuswalk/relay/control_watch.py
@@ -22,12 +22,12 @@
 
 WATCH_TIMEOUT_S = 1.2
 """Time-out of a watch: three times as long as control holds it open."""
-RETRY_PAUSE_S = 0.2
+RETRY_INTERVAL_S = 0.2
 """Pause after a failed watch."""
-STARTUP_RETRY_PAUSE_S = 0.05
+STARTUP_RETRY_INTERVAL_S = 0.05
 """The same before the first configuration: control may be starting at the same
 time."""
-ENDPOINT_EXPIRY_S = 20.0
+ENDPOINT_RETENTION_S = 20.0
 """Time without an announcement after which an endpoint is removed, the same as
 at control."""
 NON_SEED_TIMEOUT_S = 30.0
@@ -119,16 +119,16 @@
     def _expire_endpoints(self, now: float) -> None:
         """Removes silent endpoints if control could have announced them.
 
-        Without control, and until ``ENDPOINT_EXPIRY_S`` after it is back, the
-        entry continues with the known endpoints.
+        Without control, and until ``ENDPOINT_RETENTION_S`` after it is back,
+        the entry continues with the known endpoints.
         """
         if not any(feed.connected for feed in self.feeds.values()):
             self.connected_since = None
             return
         if self.connected_since is None:
             self.connected_since = now
-        if now - self.connected_since > ENDPOINT_EXPIRY_S:
-            directory.expire(self.relay.directory, now, ENDPOINT_EXPIRY_S)
+        if now - self.connected_since > ENDPOINT_RETENTION_S:
+            directory.expire(self.relay.directory, now, ENDPOINT_RETENTION_S)
 
     async def stop(self) -> None:
         """Stops watching."""
@@ -163,7 +163,7 @@
                 feed.link.close("timed out")
             has_config = self.relay.route_table is not None
             await asyncio.sleep(
-                RETRY_PAUSE_S if has_config else STARTUP_RETRY_PAUSE_S
+                RETRY_INTERVAL_S if has_config else STARTUP_RETRY_INTERVAL_S
             )
 
     def _make_watch_message(self, feed: ControlFeed) -> ttypes.Watch:
--- a/testing/test_ledger.py
+++ b/testing/test_ledger.py
@@ -1,4 +1,4 @@
-"""Ledger of non-repeatable calls: each call runs at most once."""
+"""Ledger of non-idempotent calls: each call runs at most once."""
 
 import ledger_machine
 import pytest
@@ -93,7 +93,7 @@
 
     def test_records_expire_by_log_time(self, state):
         apply(state, begin(), at_ms=1000)
-        late = 1000 + ledger.RECORD_KEPT_MS
+        late = 1000 + ledger.RECORD_RETENTION_MS
         apply(state, commands.Tick(), at_ms=late)
         assert isinstance(ledger.find(state, "w", "k"), outcomes.CallState)
         apply(state, commands.Tick(), at_ms=late + 2000)
@@ -136,18 +136,22 @@
         async def send_ungranted(entry, call, attempt, outcome):
             row = next(iter(entry.upstreams.rows.values()))
             sent = await at_most_once._send(entry, call, attempt, row)
-            return sent or at_most_once._not_run("never opened")
+            return sent or at_most_once._not_run_problem("never opened")
 
-        monkeypatch.setattr(at_most_once, "_not_granted", send_ungranted)
+        monkeypatch.setattr(at_most_once, "_answer_ungranted", send_ungranted)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_records_that_expire_too_soon(self, monkeypatch):
-        monkeypatch.setattr(ledger, "RECORD_KEPT_MS", 3000)
+        monkeypatch.setattr(ledger, "RECORD_RETENTION_MS", 3000)
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
 
     def test_call_with_unknown_outcome_reported_as_not_run(self, monkeypatch):
-        monkeypatch.setattr(at_most_once, "_unknown", at_most_once._not_run)
+        monkeypatch.setattr(
+            at_most_once,
+            "_unknown_outcome_problem",
+            at_most_once._not_run_problem,
+        )
         with pytest.raises(AssertionError):
             state_machine_runner.run_state_machine(ledger_machine.LedgerMachine)
--- a/testing/test_relay.py
+++ b/testing/test_relay.py
@@ -60,7 +60,9 @@
         relay = relay_fixtures.make_relay()
         endpoint = relay_fixtures.ScriptedEndpoint()
         now = relay.now()
-        await relay_to(relay, endpoint, came_at=now - 0.5, deadline=now + 0.5)
+        await relay_to(
+            relay, endpoint, received_at=now - 0.5, deadline=now + 0.5
+        )
         line = next(
             line
             for line in endpoint.request_heads[0].split("\r\n")
@@ -81,7 +83,7 @@
     async def test_an_answer_over_the_buffer_limit_is_a_failure(
         self, monkeypatch
     ):
-        monkeypatch.setattr(attempts, "MAX_WHOLE_BYTES", 1000)
+        monkeypatch.setattr(attempts, "MAX_BUFFERED_ANSWER_BYTES", 1000)
         relay = relay_fixtures.make_relay()
         endpoints = [
             relay_fixtures.ScriptedEndpoint(
